--- a/bramleycrank/storage/__init__.py
+++ b/bramleycrank/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Synced files in the data folder: replicated log, snapshots, disk identity and configuration."""
+"""Durable files of the data folder: replicated log, snapshots, disk identity, configuration."""
 
 from bramleycrank.storage.config_cache import ConfigCache
 from bramleycrank.storage.log_store import LogStore
--- a/bramleycrank/storage/config_cache.py
+++ b/bramleycrank/storage/config_cache.py
@@ -1,4 +1,4 @@
-"""The configuration in force, kept in the data folder."""
+"""Cache of the configuration in force, stored in the data folder."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class ConfigCache:
     """File with the newest configuration that was in force on this VM.
 
-    The folder is locked by the ``LogStore`` that uses it; a VM that only keeps its configuration
-    opens one as well.
+    The cache takes no lock. The ``LogStore`` of the same folder holds one; a VM without a log
+    opens the cache alone.
     """
 
     def __init__(self, path: Path, stored: ConfigImage | None) -> None:
@@ -29,17 +29,17 @@
 
     @classmethod
     def open(cls, folder: Path) -> ConfigCache:
-        """Open the cache in a data folder, which is made if missing.
+        """Open the cache in a data folder, and create the folder if it is missing.
 
         Raises
         ------
         StorageError
-            The folder cannot be used.
+            The folder cannot be created or the file cannot be read.
         """
         path = folder / CACHE_FILE
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            return cls(path, _read(path))
+            return cls(path, _read_image(path))
         except OSError as exc:
             raise StorageError(f"{path} cannot be read: {exc}") from exc
 
@@ -48,7 +48,7 @@
         return self._stored
 
     def save(self, image: ConfigImage) -> None:
-        """Replace the stored image, synced; an image that is not newer changes nothing.
+        """Replace the stored image durably; an image that is not newer is ignored.
 
         Raises
         ------
@@ -64,14 +64,14 @@
         self._stored = image
 
 
-def _read(path: Path) -> ConfigImage | None:
+def _read_image(path: Path) -> ConfigImage | None:
     payload = read_single_frame(path)
     if payload is None:
         if path.exists():
-            log.warning("storage: %s is damaged and not used", path)
+            log.warning("storage: %s is damaged and is ignored", path)
         return None
     try:
         return ConfigImage.FromString(payload)
     except DecodeError:
-        log.warning("storage: %s is unreadable and not used", path)
+        log.warning("storage: %s holds no valid configuration and is ignored", path)
         return None
--- a/bramleycrank/storage/files.py
+++ b/bramleycrank/storage/files.py
@@ -1,9 +1,8 @@
 """Durable file operations and the frame format of all files in the data folder.
 
-A frame is its length and its xxh32 checksum, both as little-endian 32-bit numbers, followed by
-the payload. The checksum covers the length as well, so a damaged length is found too. It starts
-from a seed of the data folder, so bytes that a caller stored inside a payload never look like a
-frame.
+A frame is the payload length and an xxh32 checksum, both little-endian 32-bit integers, followed
+by the payload. The checksum also covers the length, so a damaged length is detected. Its seed is
+specific to the data folder, so bytes that a caller stored inside a payload do not pass for a frame.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 def encode_frame(payload: bytes, seed: int = 0) -> bytes:
-    """Return the frame with a payload."""
+    """Return a frame that contains the payload."""
     return _HEADER.pack(len(payload), _checksum(payload, seed)) + payload
 
 
@@ -36,15 +35,15 @@
 def has_frame_after(data: bytes, offset: int, seed: int = 0) -> bool:
     """Return whether an intact frame starts anywhere after ``offset``.
 
-    A crash while appending damages only the last frame. An intact frame after a damaged one
-    therefore means that synced data was damaged.
+    A crash during an append can damage only the last frame, so an intact frame after a damaged
+    one means that already synced data is corrupt.
     """
     starts = range(offset + 1, len(data) - _HEADER.size)
     return any(_frame_end(data, start, seed) is not None for start in starts)
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync a folder, so that created and renamed files survive a crash."""
+    """Sync a folder, so that file creations and renames survive a crash."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
@@ -53,7 +52,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Replace a file by ``data``: a temporary file is synced and renamed, the folder synced."""
+    """Replace a file atomically and durably: sync a temporary file, rename it, sync the folder."""
     temporary = path.with_name(path.name + ".tmp")
     with open(temporary, "wb") as file:
         file.write(data)
@@ -64,7 +63,7 @@
 
 
 def read_single_frame(path: Path, seed: int = 0) -> bytes | None:
-    """Return the payload of a file with one frame; ``None`` if it is missing or damaged."""
+    """Return the payload of a file that is one frame; ``None`` if missing or damaged."""
     with contextlib.suppress(FileNotFoundError):
         data = path.read_bytes()
         for end, payload in decode_frames(data, seed):
--- a/bramleycrank/storage/identity.py
+++ b/bramleycrank/storage/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a data folder and the lock on it."""
+"""Identity of a data folder and the lock on it."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class DiskIdentity:
-    """Names the VM and the disk that hold a data folder.
+    """Identifies the VM and the disk that a data folder belongs to.
 
     Parameters
     ----------
     vm_id : str
         VM that the folder belongs to.
     disk_id : str
-        Random UUID; a folder that was lost and made again has another one.
+        Random UUID; a folder that was lost and created again gets a new one.
     """
 
     vm_id: str
@@ -34,12 +34,12 @@
 
     @classmethod
     def create(cls, vm_id: str) -> DiskIdentity:
-        """Return a new identity."""
+        """Return an identity with a new random disk id."""
         return cls(vm_id, str(uuid.uuid4()))
 
     @classmethod
     def load(cls, folder: Path) -> DiskIdentity | None:
-        """Return the identity of a folder; ``None`` if the folder has none yet.
+        """Read the identity of a folder; ``None`` if the folder has none yet.
 
         Raises
         ------
@@ -55,18 +55,18 @@
         return cls(**json.loads(payload))
 
     def save(self, folder: Path) -> None:
-        """Write the identity, synced."""
+        """Write the identity durably."""
         payload = json.dumps(attrs.asdict(self)).encode()
         write_synced(folder / IDENTITY_FILE, encode_frame(payload))
 
     @property
     def node_id(self) -> str:
-        """Node id in the replicated log."""
+        """Node id in the replicated log: ``vm_id/disk_id``."""
         return f"{self.vm_id}/{self.disk_id}"
 
     @property
     def seed(self) -> int:
-        """Seed of the checksums of the folder's log and snapshots."""
+        """Checksum seed for the log and the snapshots of this folder."""
         return xxhash.xxh32_intdigest(self.disk_id.encode())
 
 
@@ -77,14 +77,14 @@
         self._fd = fd
 
     @classmethod
-    def take(cls, folder: Path) -> FolderLock:
-        """Lock the folder; raises ``FolderInUse`` if another owner has it."""
+    def acquire(cls, folder: Path) -> FolderLock:
+        """Lock the folder; raises ``FolderInUse`` if another process holds the lock."""
         fd = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as exc:
             os.close(fd)
-            raise FolderInUse(f"{folder} is used by another process") from exc
+            raise FolderInUse(f"{folder} is in use by another process") from exc
         return cls(fd)
 
     def release(self) -> None:
--- a/bramleycrank/storage/log_store.py
+++ b/bramleycrank/storage/log_store.py
@@ -1,9 +1,9 @@
-"""The data folder of a node: synced log, snapshots and disk identity.
+"""Data folder of a node: durable log, snapshots and disk identity.
 
-The folder holds ``snapshot-N`` and the segment ``log-N`` that continues it. A new snapshot starts
-generation N + 1: first the new segment with what the snapshot does not cover is written, then the
-snapshot. The rename of the snapshot switches the generation, so a crash at any point leaves one
-of the two complete.
+The folder holds ``snapshot-N`` and the segment ``log-N`` with the entries after it. A new snapshot
+starts generation N + 1: the new segment with the entries that the snapshot does not cover is
+written first, then the snapshot. The rename of the snapshot file switches the generation, so after
+a crash at any point one of the two generations is complete.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class LogStore:
-    """Synced log and snapshots of one node; the folder is locked while it is open."""
+    """Durable log and snapshots of one node; the folder is locked while the store is open."""
 
     def __init__(
         self,
@@ -49,28 +49,28 @@
 
     @classmethod
     def open(cls, folder: Path, vm_id: str) -> LogStore:
-        """Open a data folder, or create it with a new disk id.
+        """Open a data folder; a new or empty one gets a new disk id.
 
         Parameters
         ----------
         folder : Path
-            Data folder; made if missing.
+            Data folder; created if missing.
         vm_id : str
             VM that the folder belongs to.
 
         Raises
         ------
         FolderInUse
-            Another process has the folder open.
+            Another process holds the lock on the folder.
         CorruptLog
             A synced record is damaged or missing.
         StorageError
-            The folder belongs to another VM, has lost its identity, or cannot be used.
+            The folder belongs to another VM, has a log but no identity, or cannot be accessed.
         """
         try:
             folder.mkdir(parents=True, exist_ok=True)
             sync_folder(folder.parent)
-            lock = FolderLock.take(folder)
+            lock = FolderLock.acquire(folder)
         except OSError as exc:
             raise StorageError(f"{folder} cannot be used: {exc}") from exc
         try:
@@ -84,14 +84,14 @@
 
     @staticmethod
     def discard(folder: Path) -> None:
-        """Remove a damaged log with its identity, so that the next open makes a new one.
+        """Delete a damaged log and its identity, so that the next ``open`` creates new ones.
 
-        The identity goes last: as long as it is there, the folder is not taken for an empty one.
+        The identity is deleted last, so that a crash in between does not make the folder look new.
 
         Raises
         ------
         StorageError
-            A file could not be removed.
+            A file could not be deleted.
         """
         try:
             for path in folder.iterdir():
@@ -109,35 +109,36 @@
         return self._identity.node_id
 
     def load(self) -> DurableState:
-        """Return everything that was persisted."""
+        """Return the persisted hard state, snapshot and entries."""
         content = self._segment.content
         return DurableState(content.hard_state, self._snapshot, tuple(content.entries))
 
     def persist(self, action: Persist) -> None:
-        """Write and sync one action.
+        """Append one action to the log and sync it.
 
         Raises
         ------
         StorageError
-            The write failed. What the file holds is then unknown, so every later call fails too
-            and the process must end.
+            The write failed. The content of the file is then unknown, so every later call fails
+            too and the process must end.
         """
-        self._guarded(lambda: self._segment.append(action))
+        self._write_or_disable(lambda: self._segment.append(action))
 
     def save_snapshot(self, snapshot: LogSnapshot) -> None:
-        """Store a snapshot and drop the entries that it covers or contradicts.
+        """Store a snapshot and drop the entries that it covers or conflicts with.
 
-        Entries after the snapshot stay only if the log holds its last entry with its term.
+        Entries after the snapshot are kept only if the log holds the snapshot's last entry with the
+        same term.
 
         Raises
         ------
         StorageError
             The write failed; every later call fails too.
         """
-        self._guarded(lambda: self._switch_generation(snapshot))
+        self._write_or_disable(lambda: self._switch_generation(snapshot))
 
     def dump(self) -> dict[str, object]:
-        """Return sizes and identity for operators."""
+        """Return the identity and the sizes of the log for operators."""
         content = self._segment.content
         return {
             "node_id": self.node_id,
@@ -152,7 +153,7 @@
         }
 
     def close(self) -> None:
-        """Close the files and release the folder."""
+        """Close the log file and release the lock on the folder."""
         self._segment.close()
         self._lock.release()
 
@@ -164,12 +165,12 @@
         if identity.vm_id != vm_id:
             raise StorageError(f"{folder} belongs to VM {identity.vm_id}, not to {vm_id}")
         generation = max((n for kind, n in _generations(folder) if kind == "snapshot"), default=0)
-        snapshot = _read_snapshot(_path(folder, "snapshot", generation), identity.seed)
+        snapshot = _read_snapshot(_generation_path(folder, "snapshot", generation), identity.seed)
         if snapshot is None and generation:
             raise CorruptLog(f"snapshot {generation} in {folder} is damaged")
-        path = _path(folder, "log", generation)
+        path = _generation_path(folder, "log", generation)
         if not path.exists():
-            # Without its log the node would forget its vote, so it must not start again.
+            # The vote is in the log; without it, the node could vote twice in one term.
             raise CorruptLog(f"{path} is missing")
         first = snapshot.index + 1 if snapshot else 1
         segment = Segment.open(path, identity.seed, first)
@@ -179,11 +180,11 @@
 
     @classmethod
     def _create(cls, folder: Path, vm_id: str, lock: FolderLock) -> LogStore:
-        """Make an empty log and then the identity, whose presence marks a complete folder."""
+        """Create an empty log and then the identity, which marks the folder as complete."""
         if any(kind == "snapshot" or n for kind, n in _generations(folder)):
-            raise StorageError(f"{folder} has a log but no identity; it cannot be used again")
+            raise StorageError(f"{folder} has a log but no identity file")
         identity = DiskIdentity.create(vm_id)
-        path = _path(folder, "log", 0)
+        path = _generation_path(folder, "log", 0)
         segment = Segment.create(path, identity.seed, SegmentContent(first_index=1))
         identity.save(folder)
         log.info("storage: created %s as %s", folder, identity.node_id)
@@ -192,13 +193,13 @@
     def _switch_generation(self, snapshot: LogSnapshot) -> None:
         if self._snapshot is not None and snapshot.index <= self._snapshot.index:
             return
-        generation, old = self._generation + 1, self._segment
-        content = old.content.after(snapshot)
+        generation, old_segment = self._generation + 1, self._segment
+        content = old_segment.content.after(snapshot)
         seed = self._identity.seed
-        segment = Segment.create(_path(self._folder, "log", generation), seed, content)
+        segment = Segment.create(_generation_path(self._folder, "log", generation), seed, content)
         frame = encode_frame(snapshot.SerializeToString(), seed)
-        write_synced(_path(self._folder, "snapshot", generation), frame)
-        old.close()
+        write_synced(_generation_path(self._folder, "snapshot", generation), frame)
+        old_segment.close()
         self._segment, self._snapshot, self._generation = segment, snapshot, generation
         self._remove_other_generations()
 
@@ -209,7 +210,8 @@
                 path.unlink()
         sync_folder(self._folder)
 
-    def _guarded(self, write: Callable[[], None]) -> None:
+    def _write_or_disable(self, write: Callable[[], None]) -> None:
+        """Run a write; after a failed one, refuse every later write."""
         if self._failed:
             raise StorageError(f"an earlier write to {self._folder} failed")
         self._failed = True
@@ -220,7 +222,7 @@
         self._failed = False
 
 
-def _path(folder: Path, kind: str, generation: int) -> Path:
+def _generation_path(folder: Path, kind: str, generation: int) -> Path:
     return folder / f"{kind}-{generation}"
 
 
--- a/bramleycrank/storage/segment.py
+++ b/bramleycrank/storage/segment.py
@@ -1,4 +1,4 @@
-"""One log segment: an append-only file of checksummed batches of records."""
+"""Log segment: an append-only file of checksummed batches of records."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @attrs.define
 class SegmentContent:
-    """Hard state and entries that the batches of a segment add up to.
+    """Hard state and entries that result from the batches of a segment.
 
     Parameters
     ----------
     first_index : int
-        Index of the first entry that the segment may hold.
+        Lowest index of an entry that the segment may hold.
     """
 
     first_index: int
@@ -29,7 +29,7 @@
     entries: list[Entry] = attrs.field(factory=list)
 
     def persist(self, action: Persist) -> None:
-        """Apply an action; raises ``CorruptLog`` if the entries do not follow one another."""
+        """Apply an action; raises ``CorruptLog`` if the entry indexes are not contiguous."""
         if action.hard_state is not None:
             self.hard_state = action.hard_state
         if action.truncate_from:
@@ -38,7 +38,7 @@
             self._append(entry)
 
     def replay(self, batch: LogBatch) -> None:
-        """Apply a batch that was read from the file."""
+        """Apply a batch read from the file; raises ``CorruptLog`` if a record does not fit."""
         for record in batch.records:
             match record.WhichOneof("body"):
                 case "hard_state":
@@ -48,13 +48,13 @@
                 case "entry":
                     self._append(record.entry)
                 case _:
-                    raise CorruptLog("the log has a record of an unknown kind")
+                    raise CorruptLog("the log has a record of unknown type")
 
     def after(self, snapshot: LogSnapshot) -> SegmentContent:
-        """Return what a snapshot leaves to keep.
+        """Return the hard state and the entries to keep after a snapshot.
 
-        Entries after the snapshot stay only if the last entry that it covers is here with its
-        term; otherwise they contradict the leader's log.
+        Entries after the snapshot are kept only if the last entry that it covers is in the segment
+        with the same term; otherwise they conflict with the leader's log.
         """
         position = snapshot.index - self.first_index
         covered = self.entries[position : position + 1]
@@ -63,72 +63,73 @@
 
     def _truncate_from(self, index: int) -> None:
         if index < self.first_index:
-            raise CorruptLog(f"the log drops entry {index}, which is before its start")
+            raise CorruptLog(f"the log truncates at entry {index}, which is before its first entry")
         del self.entries[index - self.first_index :]
 
     def _append(self, entry: Entry) -> None:
         expected = self.first_index + len(self.entries)
         if entry.index != expected:
-            raise CorruptLog(f"the log has entry {entry.index} in place of {expected}")
+            raise CorruptLog(f"the log has entry {entry.index} instead of entry {expected}")
         self.entries.append(entry)
 
 
 class Segment:
-    """Open segment file."""
+    """Segment file that is open for appending."""
 
     def __init__(self, path: Path, seed: int, content: SegmentContent) -> None:
         self.path = path
         self.content = content
         self._seed = seed
-        # Without a buffer: one that could not be written would be written again at the close.
+        # Unbuffered: after a failed write, closing a buffered file would write the data again.
         self._file = open(path, "ab", buffering=0)  # noqa: SIM115
 
     @classmethod
     def create(cls, path: Path, seed: int, content: SegmentContent) -> Segment:
-        """Write a segment that starts with ``content``, synced under its final name."""
+        """Create a segment with ``content`` as its first batch, durably under its final name."""
         action = Persist(content.hard_state, 0, content.entries)
-        write_synced(path, _encode(action, seed))
+        write_synced(path, _encode_batch(action, seed))
         return cls(path, seed, content)
 
     @classmethod
     def open(cls, path: Path, seed: int, first_index: int) -> Segment:
-        """Read a segment and cut off a torn last batch.
+        """Read a segment and truncate a torn last batch.
 
         Raises
         ------
         CorruptLog
-            A batch other than the last is damaged, or the records are out of order. The first
-            batch is written under a temporary name and can not be torn.
+            A batch other than the last is damaged, the first batch is missing, or records are
+            out of order. The first batch cannot be torn, because ``create`` writes it to a
+            temporary file first.
         """
         data = path.read_bytes()
         content = SegmentContent(first_index)
-        intact = 0
+        intact_bytes = 0
         for end, payload in decode_frames(data, seed):
-            content.replay(_parse(payload, path, intact))
-            intact = end
-        if intact == 0 or has_frame_after(data, intact, seed):
-            raise CorruptLog(f"{path} is damaged at byte {intact}")
+            content.replay(_decode_batch(payload, path, intact_bytes))
+            intact_bytes = end
+        if intact_bytes == 0 or has_frame_after(data, intact_bytes, seed):
+            raise CorruptLog(f"{path} is damaged at byte {intact_bytes}")
         with open(path, "r+b") as file:
-            if intact < len(data):
-                file.truncate(intact)
-            # After a failed sync, what was read may be in memory only.
+            if intact_bytes < len(data):
+                file.truncate(intact_bytes)
+            # After a failed sync, the data just read may be only in the page cache.
             os.fsync(file.fileno())
         return cls(path, seed, content)
 
     def append(self, action: Persist) -> None:
-        """Write one action as one batch and sync it."""
-        left = memoryview(_encode(action, self._seed))
-        while left:
-            left = left[self._file.write(left) :]
+        """Append one action as one batch and sync the file."""
+        unwritten = memoryview(_encode_batch(action, self._seed))
+        while unwritten:
+            unwritten = unwritten[self._file.write(unwritten) :]
         os.fsync(self._file.fileno())
         self.content.persist(action)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the segment file."""
         self._file.close()
 
 
-def _encode(action: Persist, seed: int) -> bytes:
+def _encode_batch(action: Persist, seed: int) -> bytes:
     batch = LogBatch()
     if action.hard_state is not None:
         batch.records.append(LogRecord(hard_state=action.hard_state))
@@ -138,8 +139,8 @@
     return encode_frame(batch.SerializeToString(), seed)
 
 
-def _parse(payload: bytes, path: Path, offset: int) -> LogBatch:
+def _decode_batch(payload: bytes, path: Path, offset: int) -> LogBatch:
     try:
         return LogBatch.FromString(payload)
     except DecodeError as exc:
-        raise CorruptLog(f"{path} has an unreadable batch at byte {offset}") from exc
+        raise CorruptLog(f"{path} has an invalid batch at byte {offset}") from exc
