--- a/bramleycrank/consensus/__init__.py
+++ b/bramleycrank/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Replicated-log core: Raft without input or output."""
+"""Raft core of the replicated log, without network or disk access."""
 
 from bramleycrank.consensus.node import RaftNode
 from bramleycrank.consensus.types import *  # noqa: F403
--- a/bramleycrank/consensus/core.py
+++ b/bramleycrank/consensus/core.py
@@ -1,4 +1,4 @@
-"""State that all parts of a node share, and the actions that one call collects."""
+"""Shared state of a Raft node and the actions that a call returns."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class State(enum.Enum):
-    """State of a node in elections."""
+    """Raft state of a node; ``Role`` is the view for operators."""
 
     FOLLOWER = enum.auto()
     PRE_CANDIDATE = enum.auto()
@@ -34,8 +34,8 @@
 class NodeCore:
     """Term, vote, log and commit index of a node.
 
-    Changes are collected and returned by ``take_actions`` with ``Persist`` in front, so no
-    message leaves before what it depends on is synced.
+    Changes are collected and returned by ``pop_actions`` with ``Persist`` first, so that no
+    message is sent before the state that it depends on is synced.
     """
 
     def __init__(
@@ -52,51 +52,53 @@
         self.commit_index = self.log.snapshot_index
         self.heard_at = now
         self.started_at = now
-        self.heard_leader = False
-        # Until then a leader may be alive, and no vote of this node helps to depose it. After a
-        # start it knows none; candidates have asked all voters then.
-        self.trusts_until = now
+        self.had_leader_contact = False
+        # A leader is presumed alive until this time, and the node grants no vote against it. A
+        # node that has just started knows no leader; a candidate that has just started needs the
+        # pre-votes of all voters instead.
+        self.leader_presumed_until = now
         self.election_due = 0.0
         self.joining_cluster = ""
-        self._hard_dirty = False
+        self._hard_state_changed = False
         self._truncate_from = 0
         self._new_entries: list[Entry] = []
         self._actions: list[Action] = []
-        self._reported = self._role_state()
+        self._reported_role_state = self._role_state()
         self.reset_election()
 
     @property
     def node_id(self) -> str:
-        """Own node id."""
+        """Id of this node."""
         return self.cfg.node_id
 
     @property
     def cluster_id(self) -> str:
-        """Own cluster; that of the sender while a node without a membership answers a leader."""
+        """Id of this node's cluster; without a membership, that of the last message received."""
         return self.log.membership.cluster_id or self.joining_cluster
 
     @property
     def is_member(self) -> bool:
-        """Whether this node may vote: it is a member, or its removal is not known as committed.
+        """Whether this node may vote: it is a member, or its removal is not known to be committed.
 
-        A removal that only the removed node holds, because its leader was lost, could otherwise
-        never be committed or undone.
+        If the leader is lost and only the removed node holds the removal entry, a majority may
+        need the vote of this node. Without that vote the entry could be neither committed nor
+        overwritten.
         """
-        return any(quorum.find(item, self.node_id) for item in self._memberships())
+        return any(quorum.find_member(item, self.node_id) for item in self._memberships())
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this node may ask for votes; it counts its own only if it is still a voter."""
+        """Whether this node may request votes; its own counts only if it is still a voter."""
         return any(quorum.is_voter(item, self.node_id) for item in self._memberships())
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node votes in its own view of the membership."""
+        """Whether this node is a voter in the newest membership of its log."""
         return quorum.is_voter(self.log.membership, self.node_id)
 
     @property
     def role(self) -> Role:
-        """Role as operators see it."""
+        """Role as shown to operators."""
         if self.state is State.LEADER:
             return Role.LEADER
         if self.state is not State.FOLLOWER:
@@ -104,46 +106,46 @@
         return Role.FOLLOWER if self.is_voter else Role.LEARNER
 
     @property
-    def restarting(self) -> bool:
-        """Whether this node has just started and has heard no leader since."""
-        return not self.heard_leader and self.now < self.started_at + self.cfg.restart_s
+    def recently_started(self) -> bool:
+        """Whether this node started recently and has received no message from a leader since."""
+        return not self.had_leader_contact and self.now < self.started_at + self.cfg.restart_s
 
     @property
-    def needs_all_votes(self) -> bool:
-        """Whether a leader may be alive that this node has not heard since its start."""
-        return self.restarting and self.now < self.started_at + self.cfg.restart_trust_s
+    def needs_all_pre_votes(self) -> bool:
+        """Whether an election needs all pre-votes, since an unseen leader may be alive."""
+        return self.recently_started and self.now < self.started_at + self.cfg.restart_trust_s
 
-    def hear_leader(self) -> None:
-        """Take note of a message of a leader."""
-        self.heard_leader = True
+    def record_leader_contact(self) -> None:
+        """Record a message from the leader and restart the election timeout."""
+        self.had_leader_contact = True
         self.heard_at = self.now
-        self.trusts_until = self.now + self.cfg.election_timeout_s[0]
+        self.leader_presumed_until = self.now + self.cfg.election_timeout_s[0]
         self.reset_election()
 
     def reset_election(self) -> None:
         """Start a new election timeout of random length.
 
-        Load pattern: all voters lose power and return together; no leader is alive, and each
-        further timeout is time in which nothing can be decided. A node that is no voter in its
-        newest membership, though it may still campaign, leaves the voters their time: it would step
-        down once it learns that its removal is committed.
+        The timeout is short after a restart: when all voters lose power and restart together, no
+        leader is alive and nothing can be committed until one is elected. A node that is not a
+        voter in its newest membership waits longer, so that the voters campaign first. It may
+        campaign, but would step down as soon as it learned that its removal is committed.
         """
         cfg = self.cfg
-        waits_s = cfg.election_timeout_s
+        range_s = cfg.election_timeout_s
         if self.log.membership.members and not self.is_voter:
-            waits_s = tuple(limit_s + cfg.election_timeout_s[1] for limit_s in waits_s)
-        elif self.restarting:
-            waits_s = cfg.restart_retry_s
-        self.election_due = self.now + self.rng.uniform(*waits_s)
+            range_s = tuple(limit_s + cfg.election_timeout_s[1] for limit_s in range_s)
+        elif self.recently_started:
+            range_s = cfg.restart_retry_s
+        self.election_due = self.now + self.rng.uniform(*range_s)
 
     def set_term(self, term: int, voted_for: str) -> None:
-        """Change term and vote; both are persisted together."""
+        """Set the term and the vote, which are persisted together."""
         if (term, voted_for) != (self.term, self.voted_for):
             self.term, self.voted_for = term, voted_for
-            self._hard_dirty = True
+            self._hard_state_changed = True
 
-    def follow(self, term: int, leader_id: str) -> None:
-        """Become a follower, in a new term without a vote."""
+    def become_follower(self, term: int, leader_id: str) -> None:
+        """Become a follower; a newer term starts without a vote."""
         if term > self.term:
             self.set_term(term, "")
         self.state = State.FOLLOWER
@@ -155,31 +157,31 @@
         self._new_entries.extend(entries)
 
     def truncate_from(self, index: int) -> None:
-        """Drop conflicting entries; committed ones never conflict."""
+        """Drop the entry at ``index`` and all after it; none of them may be committed."""
         if index <= self.commit_index:
-            raise RuntimeError(f"entry {index} is committed and cannot be dropped")
+            raise RuntimeError(f"entry {index} is committed and cannot be truncated")
         self.log.truncate_from(index)
         self._truncate_from = index
 
     def commit_to(self, index: int) -> None:
-        """Move the commit index up and apply the entries that it passes."""
+        """Raise the commit index and apply the newly committed entries."""
         if index > self.commit_index:
-            entries = self.log.between(self.commit_index + 1, index)
+            entries = self.log.entries_between(self.commit_index + 1, index)
             self.commit_index = index
             self._actions.append(Apply(tuple(entries)))
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Replace log and state machine by a snapshot."""
+        """Replace the log and the state machine with a snapshot."""
         self.log.restore(snapshot)
         self.commit_index = snapshot.index
         self._actions += [PersistSnapshot(snapshot), RestoreState(snapshot)]
 
-    def emit(self, action: Action) -> None:
-        """Collect an action that does not depend on order with others of its kind."""
+    def add_action(self, action: Action) -> None:
+        """Add an action to those that the current call returns."""
         self._actions.append(action)
 
     def send(self, recipient: str, term: int | None = None, **body: object) -> None:
-        """Collect a message; ``body`` is the one field of the message's body."""
+        """Add a message to the actions; ``body`` is the one field of the message body."""
         message = ConsensusMessage(
             cluster_id=self.cluster_id,
             sender=self.node_id,
@@ -189,23 +191,23 @@
         )
         self._actions.append(Send(message))
 
-    def take_actions(self) -> list[Action]:
-        """Return what the call collected, with ``Persist`` first."""
+    def pop_actions(self) -> list[Action]:
+        """Return and clear the collected actions, with ``Persist`` first."""
         actions: list[Action] = []
-        if self._hard_dirty or self._truncate_from or self._new_entries:
-            hard = HardState(term=self.term, voted_for=self.voted_for)
+        if self._hard_state_changed or self._truncate_from or self._new_entries:
+            hard_state = HardState(term=self.term, voted_for=self.voted_for)
             actions.append(
                 Persist(
-                    hard if self._hard_dirty else None,
+                    hard_state if self._hard_state_changed else None,
                     self._truncate_from,
                     tuple(self._new_entries),
                 )
             )
         actions += self._actions
-        if self._role_state() != self._reported:
-            self._reported = self._role_state()
-            actions.append(RoleChanged(*self._reported))
-        self._hard_dirty, self._truncate_from = False, 0
+        if self._role_state() != self._reported_role_state:
+            self._reported_role_state = self._role_state()
+            actions.append(RoleChanged(*self._reported_role_state))
+        self._hard_state_changed, self._truncate_from = False, 0
         self._new_entries, self._actions = [], []
         return actions
 
--- a/bramleycrank/consensus/election.py
+++ b/bramleycrank/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes and leader stickiness."""
+"""Elections: pre-votes, votes and leader stickiness."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class Election:
-    """Asks for votes and gives them.
+    """Requests votes and grants them.
 
     Parameters
     ----------
     core : NodeCore
         Shared state of the node.
-    follow : callable
+    become_follower : callable
         Makes the node a follower of ``(term, leader_id)`` and ends its leadership.
     """
 
-    def __init__(self, core: NodeCore, follow: Callable[[int, str], None]) -> None:
+    def __init__(self, core: NodeCore, become_follower: Callable[[int, str], None]) -> None:
         self._core = core
-        self._follow = follow
-        self._granted: set[str] = set()
+        self._become_follower = become_follower
+        self._granted_by: set[str] = set()
 
     def start(self) -> bool:
-        """Ask for pre-votes after an election timeout; returns whether the node won at once."""
+        """Request pre-votes after an election timeout; returns whether it won at once."""
         core = self._core
         core.leader_id = ""
         core.state = State.FOLLOWER
@@ -36,35 +36,35 @@
         core.state = State.PRE_CANDIDATE
         return self._request_votes(pre_vote=True, transfer=False)
 
-    def start_transferred(self) -> bool:
-        """Ask for votes at once because the leader hands over its leadership."""
+    def start_for_transfer(self) -> bool:
+        """Request votes immediately because the leader transfers its leadership."""
         return self._core.may_campaign and self._campaign(transfer=True)
 
     def on_reply(self, msg: ConsensusMessage) -> bool:
-        """Count a vote; returns whether the node won."""
+        """Count a vote; returns whether the node won the election."""
         core, reply = self._core, msg.vote_reply
-        if quorum.find(core.log.membership, msg.sender) is None:
+        if quorum.find_member(core.log.membership, msg.sender) is None:
             return False
         if not reply.granted:
             if msg.term > core.term:
-                self._follow(msg.term, "")
+                self._become_follower(msg.term, "")
             return False
-        wanted = State.PRE_CANDIDATE if reply.pre_vote else State.CANDIDATE
+        expected_state = State.PRE_CANDIDATE if reply.pre_vote else State.CANDIDATE
         term = core.term + 1 if reply.pre_vote else core.term
-        if core.state is not wanted or msg.term != term:
+        if core.state is not expected_state or msg.term != term:
             return False
-        self._granted.add(msg.sender)
-        return self._counted()
+        self._granted_by.add(msg.sender)
+        return self._advance_if_won()
 
     def on_request(self, msg: ConsensusMessage) -> None:
         """Grant or refuse a vote.
 
-        A node that is not in its own view of the membership never votes. A learner votes when it
-        is asked: the candidate counts it only if the candidate's log has made it a voter, and the
-        learner may not have heard of that yet.
+        A node outside the memberships of its own log never votes. A learner does vote: the
+        candidate counts the vote only if the candidate's log makes the learner a voter, and the
+        learner may not have received that entry yet.
         """
         core, req = self._core, msg.vote_request
-        if not core.is_member or (self._hears_leader() and not req.leader_transfer):
+        if not core.is_member or (self._leader_presumed_alive() and not req.leader_transfer):
             return
         if req.pre_vote:
             granted = msg.term > core.term and self._is_up_to_date(req)
@@ -72,18 +72,18 @@
             core.send(msg.sender, msg.term if granted else core.term, vote_reply=reply)
             return
         if msg.term > core.term:
-            self._follow(msg.term, "")
-        free = core.voted_for == msg.sender or (not core.voted_for and not core.leader_id)
-        granted = msg.term == core.term and free and self._is_up_to_date(req)
+            self._become_follower(msg.term, "")
+        may_grant = core.voted_for == msg.sender or (not core.voted_for and not core.leader_id)
+        granted = msg.term == core.term and may_grant and self._is_up_to_date(req)
         if granted:
             core.set_term(core.term, msg.sender)
             core.reset_election()
         core.send(msg.sender, vote_reply=VoteReply(granted=granted))
 
-    def _hears_leader(self) -> bool:
-        """Return whether a leader is known to be alive, so that no election is needed."""
+    def _leader_presumed_alive(self) -> bool:
+        """Return whether a leader is presumed alive, so that no vote is granted."""
         core = self._core
-        return core.state is State.LEADER or core.now < core.trusts_until
+        return core.state is State.LEADER or core.now < core.leader_presumed_until
 
     def _is_up_to_date(self, req: VoteRequest) -> bool:
         log = self._core.log
@@ -99,30 +99,35 @@
 
     def _request_votes(self, *, pre_vote: bool, transfer: bool) -> bool:
         core = self._core
-        self._granted = {core.node_id}
-        if quorum.has_quorum(core.log.membership, self._granted):
-            return self._counted()
+        self._granted_by = {core.node_id}
+        if quorum.has_quorum(core.log.membership, self._granted_by):
+            return self._advance_if_won()
         req = VoteRequest(
             pre_vote=pre_vote,
             last_index=core.log.last_index,
             last_term=core.log.last_term,
             leader_transfer=transfer,
         )
-        for node_id in quorum.voters(core.log.membership):
+        for node_id in quorum.voter_ids(core.log.membership):
             if node_id != core.node_id:
                 core.send(node_id, core.term + pre_vote, vote_request=req)
         return False
 
-    def _counted(self) -> bool:
-        """Move on if a majority granted its votes; only voters of the own membership count.
+    def _advance_if_won(self) -> bool:
+        """Go to the next phase on a majority of votes; returns whether the election is won.
 
-        Right after a start all of them have to say that they know no leader.
+        Only voters of the newest membership in the own log count. Shortly after a start all of
+        them must grant their pre-votes, which shows that none of them knows a live leader.
         """
         core = self._core
-        voters = set(quorum.voters(core.log.membership))
-        if core.needs_all_votes and core.state is State.PRE_CANDIDATE and voters - self._granted:
+        voter_ids = set(quorum.voter_ids(core.log.membership))
+        if (
+            core.needs_all_pre_votes
+            and core.state is State.PRE_CANDIDATE
+            and voter_ids - self._granted_by
+        ):
             return False
-        if not quorum.has_quorum(core.log.membership, self._granted):
+        if not quorum.has_quorum(core.log.membership, self._granted_by):
             return False
         if core.state is State.PRE_CANDIDATE:
             return self._campaign(transfer=False)
--- a/bramleycrank/consensus/follower.py
+++ b/bramleycrank/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a node does with a leader's entries and snapshots."""
+"""Follower side of replication: entries and snapshots received from the leader."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class FollowerLog:
-    """Keeps the own log equal to the leader's."""
+    """Applies the leader's entries and snapshots to the own log."""
 
     def __init__(self, core: NodeCore) -> None:
         self._core = core
 
     def on_append(self, msg: ConsensusMessage) -> None:
-        """Append the entries that follow the own log, and commit as far as the leader has."""
+        """Append the missing entries and advance the commit index toward the leader's."""
         core, req = self._core, msg.append_request
         if core.log.snapshot is None and req.prev_index == 0:
             # Only a snapshot carries the cluster id and the first membership.
             self._refuse(msg, 1)
             return
         if req.prev_index < core.commit_index:
-            # Committed entries equal the leader's. The message is old, or the leader does not
-            # know yet how far this node is.
+            # Committed entries equal the leader's. The message is delayed, or the leader does not
+            # yet know the commit index of this node.
             self._accept(msg, core.commit_index)
             return
         if core.log.term_at(req.prev_index) != req.prev_term:
             self._refuse(msg, self._conflict_index(req))
             return
-        self._store(req)
+        self._append_missing(req)
         last = req.prev_index + len(req.entries)
-        # Only up to the last entry of this message the log is known to equal the leader's.
+        # The log is known to equal the leader's only up to the last entry of this message.
         core.commit_to(min(req.commit_index, last))
         self._accept(msg, last)
 
     def on_snapshot(self, msg: ConsensusMessage) -> None:
-        """Take over a snapshot, unless the log already holds what it covers."""
+        """Install a snapshot, unless the log already holds the entries that it covers."""
         core, snapshot = self._core, msg.install_snapshot.snapshot
         if snapshot.index > core.commit_index:
             if core.log.snapshot is not None and (
@@ -53,8 +53,8 @@
         )
         core.send(msg.sender, install_snapshot_reply=reply)
 
-    def _store(self, req: AppendRequest) -> None:
-        """Append what is missing; entries are dropped only if their terms differ."""
+    def _append_missing(self, req: AppendRequest) -> None:
+        """Append missing entries; existing ones are dropped only if their terms differ."""
         log = self._core.log
         for position, entry in enumerate(req.entries):
             term = log.term_at(entry.index)
@@ -69,8 +69,8 @@
         log = self._core.log
         if req.prev_index > log.last_index:
             return log.last_index + 1
-        first = log.first_index_of_term(req.prev_index)
-        return max(first, self._core.commit_index + 1)
+        first_of_term = log.first_index_of_term(req.prev_index)
+        return max(first_of_term, self._core.commit_index + 1)
 
     def _accept(self, msg: ConsensusMessage, match_index: int) -> None:
         reply = AppendReply(success=True, match_index=match_index, round=msg.append_request.round)
--- a/bramleycrank/consensus/leadership.py
+++ b/bramleycrank/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""The duties of a leader: proposals, reads, membership changes and leadership transfer."""
+"""Leader side: proposals, reads, membership changes and leadership transfer."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 class _PendingPromotion:
     proposal_id: str
     change: Promote
-    target_index: int
+    required_index: int
     deadline: float
 
 
 class Leadership:
-    """One term of leadership, from the won election until the node steps down."""
+    """State of a leader for one term, from the election until the node steps down."""
 
     def __init__(self, core: NodeCore) -> None:
         self._core = core
@@ -57,22 +57,22 @@
         self.replication.start_round()
 
     @property
-    def knows_commits(self) -> bool:
-        """Whether an entry of this term is committed, so no older commit is unknown."""
+    def has_committed_in_term(self) -> bool:
+        """Whether an entry of this term is committed, so that all earlier commits are known."""
         return self._core.commit_index >= self._noop_index
 
     @property
     def confirmed_at(self) -> float | None:
-        """Time at which the newest round that a quorum answered was started."""
-        return self.replication.confirmed_at if self.knows_commits else None
+        """Start time of the newest round that a quorum replied to; ``None`` if unknown."""
+        return self.replication.confirmed_at if self.has_committed_in_term else None
 
     def has_quorum(self) -> bool:
-        """Return whether a majority of the voters answered within an election timeout."""
-        longest = self._core.cfg.election_timeout_s[1]
-        return self.replication.heard_quorum_at() >= self._core.now - longest
+        """Return whether a majority of the voters replied within the longest election timeout."""
+        timeout_s = self._core.cfg.election_timeout_s[1]
+        return self.replication.quorum_contact_at() >= self._core.now - timeout_s
 
     def tick(self) -> None:
-        """Give up late promotions and transfers, and send heartbeats."""
+        """Time out promotions and transfers, and send due heartbeats."""
         if self._promotion is not None and self._core.now >= self._promotion.deadline:
             self._reject_promotion(LearnerNotCaughtUp("the learner did not catch up in time"))
         if self.transfer_to and self._core.now >= self._transfer_deadline:
@@ -82,28 +82,28 @@
         self.advance()
 
     def propose(self, proposals: Sequence[Proposal]) -> None:
-        """Append the commands of one call as one batch."""
+        """Append the proposed commands as one batch; reject those beyond the uncommitted limit."""
         core = self._core
-        error = self._refusal()
-        room = core.cfg.max_uncommitted - (core.log.last_index - core.commit_index)
-        taken = [] if error else proposals[: max(0, room)]
-        for proposal in proposals[len(taken) :]:
-            late = error or NoQuorum("too many uncommitted entries", outcome=Outcome.NOT_RUN)
-            core.emit(ProposalRejected(proposal.proposal_id, late))
+        error = self._transfer_error()
+        free_entries = core.cfg.max_uncommitted - (core.log.last_index - core.commit_index)
+        accepted = [] if error else proposals[: max(0, free_entries)]
+        for proposal in proposals[len(accepted) :]:
+            rejection = error or NoQuorum("too many uncommitted entries", outcome=Outcome.NOT_RUN)
+            core.add_action(ProposalRejected(proposal.proposal_id, rejection))
         first = core.log.last_index + 1
         entries = [
             Entry(index=first + i, term=core.term, command=p.command, proposal_id=p.proposal_id)
-            for i, p in enumerate(taken)
+            for i, p in enumerate(accepted)
         ]
         if entries:
             self._append(entries)
 
     def change_membership(self, proposal_id: str, change: MembershipChange) -> None:
-        """Append a membership change, or wait for the learner of a promotion to catch up."""
+        """Append a membership change; a promotion first waits until its learner has caught up."""
         try:
-            after = self._checked_change(change)
+            new_membership = self._validate_change(change)
         except BramleycrankError as exc:
-            self._core.emit(ProposalRejected(proposal_id, exc))
+            self._core.add_action(ProposalRejected(proposal_id, exc))
             return
         if isinstance(change, Promote):
             core = self._core
@@ -111,13 +111,13 @@
             self._promotion = _PendingPromotion(proposal_id, change, core.commit_index, deadline)
             self.advance()
         else:
-            self._append_membership(proposal_id, after)
+            self._append_membership(proposal_id, new_membership)
 
     def read_index(self, read_id: str) -> None:
-        """Confirm the leadership by a round that starts after the request.
+        """Queue a read until a round that starts after the request confirms the leadership.
 
-        While a round is unanswered, further reads wait for the next one, so that many reads
-        share a round.
+        While a round is open, further reads wait for the next one, so that many reads share a
+        round.
         """
         replication = self.replication
         self._reads.append((read_id, replication.round + 1))
@@ -126,18 +126,22 @@
         self.advance()
 
     def transfer(self) -> None:
-        """Stop accepting and hand over to the most caught-up voter that answers."""
+        """Stop accepting requests and transfer to the most caught-up voter that responds."""
         core, replication = self._core, self.replication
-        heard = replication.heard_since(self._core.now - core.cfg.election_timeout_s[0])
-        ids = set(quorum.voters(core.log.membership)) & set(heard) - {core.node_id}
-        if not ids or self.transfer_to:
+        responsive = replication.responsive_since(self._core.now - core.cfg.election_timeout_s[0])
+        candidate_ids = set(quorum.voter_ids(core.log.membership)) & set(responsive) - {
+            core.node_id
+        }
+        if not candidate_ids or self.transfer_to:
             return
-        self.transfer_to = max(sorted(ids), key=lambda n: replication.progress[n].match_index)
+        self.transfer_to = max(
+            sorted(candidate_ids), key=lambda n: replication.progress[n].match_index
+        )
         self._transfer_deadline = self._core.now + core.cfg.election_timeout_s[1]
         self._send_timeout_now()
 
     def on_reply(self, msg: ConsensusMessage) -> None:
-        """Handle a member's answer; nodes outside the membership have no progress to change."""
+        """Handle a member's reply; replies of nodes that are not tracked are ignored."""
         if msg.sender not in self.replication.progress:
             return
         if msg.WhichOneof("body") == "append_reply":
@@ -150,45 +154,48 @@
             self._send_timeout_now()
 
     def advance(self) -> None:
-        """Commit what a majority synced, and go on with all that waits for it."""
+        """Commit entries that a majority synced; process the pending promotion and reads."""
         core = self._core
-        matched = self.replication.matched()
-        # Entries of older terms are only committed through one of this term, since a majority
-        # that stores them does not keep another leader from overwriting them.
-        if matched > core.commit_index and core.log.term_at(matched) == core.term:
-            core.commit_to(matched)
-            self.replication.drop_removed()
+        quorum_match_index = self.replication.quorum_match_index()
+        # Entries of older terms are committed only through an entry of this term: even if a
+        # majority stores them, another leader may still overwrite them.
+        if (
+            quorum_match_index > core.commit_index
+            and core.log.term_at(quorum_match_index) == core.term
+        ):
+            core.commit_to(quorum_match_index)
+            self.replication.drop_removed_members()
         self._advance_promotion()
         replication = self.replication
         if self._reads and self._reads[-1][1] > replication.round == replication.confirmed_round:
             replication.start_round()
-        while self._reads and self.knows_commits:
-            read_id, wanted = self._reads[0]
-            if wanted > replication.confirmed_round:
+        while self._reads and self.has_committed_in_term:
+            read_id, required_round = self._reads[0]
+            if required_round > replication.confirmed_round:
                 break
             self._reads.popleft()
-            core.emit(ReadReady(read_id, core.commit_index))
+            core.add_action(ReadReady(read_id, core.commit_index))
 
     @property
-    def removed(self) -> bool:
+    def is_removed(self) -> bool:
         """Whether the removal of this node is committed, so it must stop leading."""
         core = self._core
         return not core.is_voter and core.log.membership_index <= core.commit_index
 
-    def end(self, error: BramleycrankError) -> None:
-        """Resolve everything that waits, as far as it can be."""
+    def resolve_pending(self, error: BramleycrankError) -> None:
+        """Report uncommitted proposals as unresolved; fail the pending promotion and reads."""
         core = self._core
-        for entry in core.log.between(core.commit_index + 1, core.log.last_index):
+        for entry in core.log.entries_between(core.commit_index + 1, core.log.last_index):
             if entry.term == core.term and entry.proposal_id:
-                core.emit(ProposalUnresolved(entry.proposal_id))
+                core.add_action(ProposalUnresolved(entry.proposal_id))
         if self._promotion is not None:
             self._reject_promotion(error)
         for read_id, _ in self._reads:
-            core.emit(ReadFailed(read_id, error))
+            core.add_action(ReadFailed(read_id, error))
         self._reads.clear()
 
     def dump(self) -> dict[str, object]:
-        """Return the members' progress for operators."""
+        """Return the leader's state and the members' progress for operators."""
         return {
             "confirmed_at": self.confirmed_at,
             "transfer_to": self.transfer_to,
@@ -218,51 +225,53 @@
         self.replication.broadcast_entries()
         self.advance()
 
-    def _checked_change(self, change: MembershipChange) -> Membership:
-        """Return the membership after the change; raises what forbids it."""
+    def _validate_change(self, change: MembershipChange) -> Membership:
+        """Return the membership after the change; raises an error if it is not allowed now."""
         core = self._core
-        if refusal := self._refusal():
-            raise refusal
-        pending = self._promotion is not None or core.log.membership_index > core.commit_index
-        # Before an entry of this term is committed, an older leader's change may still be in the
-        # log of others, and two changes at once could give majorities without a common voter.
-        if pending or not self.knows_commits:
+        if error := self._transfer_error():
+            raise error
+        change_pending = (
+            self._promotion is not None or core.log.membership_index > core.commit_index
+        )
+        # Until an entry of this term is committed, other logs may hold an older leader's change.
+        # Two changes at once could allow majorities without a common voter.
+        if change_pending or not self.has_committed_in_term:
             raise MembershipChangeInProgress(outcome=Outcome.NOT_RUN)
-        after = quorum.changed(core.log.membership, change)
-        # A promotion waits for its learner, and is checked when it is appended.
-        if not isinstance(change, Promote) and not self._answers(after):
+        new_membership = quorum.membership_after(core.log.membership, change)
+        # For a promotion this is checked after the learner has caught up, before the append.
+        if not isinstance(change, Promote) and not self._majority_responds(new_membership):
             if core.now < self._started_at + core.cfg.election_timeout_s[1]:
-                message = "the voters have not answered the new leader yet"
+                message = "the voters have not yet replied to the new leader"
                 raise MembershipChangeInProgress(message, outcome=Outcome.NOT_RUN)
-            message = "a majority of the voters after the change does not answer"
+            message = "a majority of the voters after the change does not respond"
             raise InvalidMembershipChange(message, outcome=Outcome.NOT_RUN)
-        return after
+        return new_membership
 
-    def _answers(self, membership: Membership) -> bool:
-        """Return whether a majority of the voters answered within an election timeout."""
+    def _majority_responds(self, membership: Membership) -> bool:
+        """Return whether a majority of its voters replied within the longest election timeout."""
         since = self._core.now - self._core.cfg.election_timeout_s[1]
-        return quorum.has_quorum(membership, self.replication.heard_since(since))
+        return quorum.has_quorum(membership, self.replication.responsive_since(since))
 
     def _advance_promotion(self) -> None:
-        waiting = self._promotion
-        if waiting is None:
+        promotion = self._promotion
+        if promotion is None:
             return
         core = self._core
-        progress = self.replication.progress.get(waiting.change.node_id)
+        progress = self.replication.progress.get(promotion.change.node_id)
         since = core.now - core.cfg.election_timeout_s[1]
-        answered = progress is not None and progress.heard_at >= since
-        if answered and progress.match_index >= waiting.target_index:
-            after = quorum.changed(core.log.membership, waiting.change)
-            if self._answers(after):
+        responsive = progress is not None and progress.heard_at >= since
+        if responsive and progress.match_index >= promotion.required_index:
+            new_membership = quorum.membership_after(core.log.membership, promotion.change)
+            if self._majority_responds(new_membership):
                 self._promotion = None
-                self._append_membership(waiting.proposal_id, after)
+                self._append_membership(promotion.proposal_id, new_membership)
 
     def _reject_promotion(self, error: BramleycrankError) -> None:
-        waiting, self._promotion = self._promotion, None
+        promotion, self._promotion = self._promotion, None
         error.outcome = Outcome.NOT_RUN
-        self._core.emit(ProposalRejected(waiting.proposal_id, error))
+        self._core.add_action(ProposalRejected(promotion.proposal_id, error))
 
-    def _refusal(self) -> BramleycrankError | None:
+    def _transfer_error(self) -> BramleycrankError | None:
         if self.transfer_to:
             return NotLeader("the leadership is being transferred")
         return None
--- a/bramleycrank/consensus/log.py
+++ b/bramleycrank/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of a node in memory, with the membership that each of its entries puts into effect."""
+"""In-memory log of a node, with the memberships that its entries put into effect."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from bramleycrank.proto.log_pb2 import Entry, LogSnapshot, Membership
 
-# Entries kept in memory before a snapshot, so that a follower that is a few messages behind when
-# the log is compacted does not need the whole image.
+# Entries kept in memory after compaction, so that a follower that is only a few messages behind
+# does not need the whole snapshot.
 RETAINED_ENTRIES = 512
 
 
 class RaftLog:
-    """Entries after a snapshot.
+    """Log entries after a snapshot.
 
     Parameters
     ----------
     snapshot : LogSnapshot or None
-        Start of the log; ``None`` for a node that belongs to no cluster.
+        Snapshot that the log starts from; ``None`` for a node that belongs to no cluster.
     entries : iterable of Entry
         Entries after the snapshot, contiguous.
     """
@@ -49,7 +49,7 @@
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in the log, committed or not."""
+        """Newest membership in the log, committed or not."""
         return self._memberships[-1][1] if self._memberships else Membership()
 
     @property
@@ -59,9 +59,7 @@
 
     def membership_at(self, index: int) -> Membership:
         """Return the membership that the entries up to ``index`` put into effect."""
-        return next(
-            (found for at, found in reversed(self._memberships) if at <= index), Membership()
-        )
+        return next((item for at, item in reversed(self._memberships) if at <= index), Membership())
 
     def term_at(self, index: int) -> int | None:
         """Return the term of an entry; ``None`` if it is not in memory."""
@@ -72,18 +70,18 @@
         return None
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first index in memory of the run of equal terms that ends at ``index``."""
+        """Return the lowest index in memory whose entries up to ``index`` all have its term."""
         term = self.term_at(index)
         while index > self._base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def between(self, first: int, last: int) -> Sequence[Entry]:
-        """Return the entries from ``first`` to ``last``, both included."""
+    def entries_between(self, first: int, last: int) -> Sequence[Entry]:
+        """Return the entries from ``first`` to ``last``, both inclusive."""
         return self._entries[first - self._base_index - 1 : max(0, last - self._base_index)]
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries after the last one."""
+        """Append entries, which must follow the last one without a gap."""
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
@@ -98,19 +96,19 @@
             self._memberships.pop()
 
     def compact(self, snapshot: LogSnapshot) -> None:
-        """Replace the entries that the snapshot covers, except for the retained ones."""
-        base = max(self._base_index, snapshot.index - RETAINED_ENTRIES)
-        base_term = self.term_at(base)
+        """Drop the entries that the snapshot covers, except for the retained ones."""
+        base_index = max(self._base_index, snapshot.index - RETAINED_ENTRIES)
+        base_term = self.term_at(base_index)
         if base_term is None:
-            raise ValueError(f"entry {base} is not in the log")
-        del self._entries[: base - self._base_index]
-        self._base_index, self._base_term = base, base_term
-        later = [item for item in self._memberships if item[0] > snapshot.index]
-        self._memberships = [(snapshot.index, snapshot.membership), *later]
+            raise ValueError(f"entry {base_index} is not in the log")
+        del self._entries[: base_index - self._base_index]
+        self._base_index, self._base_term = base_index, base_term
+        later_memberships = [item for item in self._memberships if item[0] > snapshot.index]
+        self._memberships = [(snapshot.index, snapshot.membership), *later_memberships]
         self.snapshot = snapshot
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Replace the whole log by a snapshot."""
+        """Replace the whole log with a snapshot."""
         self._entries = []
         self._base_index, self._base_term = snapshot.index, snapshot.term
         self._memberships = [(snapshot.index, snapshot.membership)]
--- a/bramleycrank/consensus/node.py
+++ b/bramleycrank/consensus/node.py
@@ -1,4 +1,4 @@
-"""The consensus node: one member of the replicated log."""
+"""Raft node: one member of the replicated log."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 )
 from bramleycrank.proto.log_pb2 import AppendReply, ConsensusMessage, LogSnapshot, Membership
 
-_FROM_LEADER = ("append_request", "install_snapshot", "timeout_now")
-_TO_LEADER = ("append_reply", "install_snapshot_reply")
+_LEADER_MESSAGES = ("append_request", "install_snapshot", "timeout_now")
+_MEMBER_REPLIES = ("append_reply", "install_snapshot_reply")
 
 
 class RaftNode:
-    """A node of the replicated log.
+    """Node of the replicated log.
 
-    Every method that takes an event returns the actions to execute in order. A failed ``Persist``
-    must end the process: the node assumes that it succeeded.
+    Every method that handles an event returns actions, which the caller must execute in order. If
+    a ``Persist`` fails, the process must end, because the node assumes that it succeeded.
     """
 
     def __init__(self, core: NodeCore) -> None:
         self._core = core
-        self._election = Election(core, self._follow)
+        self._election = Election(core, self._become_follower)
         self._follower = FollowerLog(core)
         self._leadership: Leadership | None = None
 
@@ -51,43 +51,43 @@
     def from_config(
         cls, cfg: RaftConfig, durable: DurableState, rng: random.Random, now: float
     ) -> RaftNode:
-        """Build a node; the caller restores its state machine from ``durable.snapshot`` itself."""
+        """Create a node; the caller must restore its state machine from ``durable.snapshot``."""
         return cls(NodeCore(cfg, durable, rng, now))
 
     def bootstrap(self, membership: Membership, now: float) -> list[Action]:
-        """Make an empty node a member of a new cluster.
+        """Initialize an empty node as a voter of a new cluster.
 
         Parameters
         ----------
         membership : Membership
-            The first voters; equal on all of them.
+            Initial voters; must be the same on all of them.
         now : float
-            Time in seconds.
+            Current time in seconds.
 
         Raises
         ------
         AlreadyBootstrapped
             The node has a snapshot or entries.
         InvalidMembershipChange
-            The membership is not a valid first one or lacks this node.
+            The membership is not a valid initial one or does not include this node.
         """
         core = self._core
         core.now = now
         if core.log.snapshot is not None or core.log.last_index:
             raise AlreadyBootstrapped(outcome=Outcome.NOT_RUN)
-        quorum.check_first_membership(membership, core.node_id)
-        # Index 1 makes the first log position known, so that a node without a log always gets the
-        # snapshot, and with it the cluster id and a membership.
+        quorum.check_initial_membership(membership, core.node_id)
+        # The snapshot at index 1 stands for the start of the log, so that a node without a log
+        # always receives a snapshot, which carries the cluster id and a membership.
         snapshot = LogSnapshot(index=1, term=1, membership=membership)
         core.set_term(max(core.term, 1), core.voted_for)
         core.log.restore(snapshot)
         core.commit_index = snapshot.index
-        core.emit(PersistSnapshot(snapshot))
+        core.add_action(PersistSnapshot(snapshot))
         core.reset_election()
-        return core.take_actions()
+        return core.pop_actions()
 
     def receive(self, msg: ConsensusMessage, now: float) -> list[Action]:
-        """Handle a message; those of another cluster or for another node are ignored."""
+        """Handle a message; one of another cluster or for another node is ignored."""
         self._core.now = now
         body = msg.WhichOneof("body")
         if body is None or not self._is_for_this_node(msg, body):
@@ -96,68 +96,68 @@
             self._election.on_request(msg)
         elif body == "vote_reply":
             if self._election.on_reply(msg):
-                self._lead()
-        elif self._is_current_term(msg, body):
+                self._become_leader()
+        elif self._accept_term(msg, body):
             self._dispatch(msg, body)
-        self._leave_if_removed()
-        return self._core.take_actions()
+        self._step_down_if_removed()
+        return self._core.pop_actions()
 
     def propose(self, proposals: Sequence[Proposal], now: float) -> list[Action]:
-        """Append commands; all of one call are persisted together."""
+        """Append commands, which are persisted together."""
         self._core.now = now
-        error = self._check_leading()
+        error = self._check_leadership()
         if error is None:
             self._leadership.propose(proposals)
         else:
             for proposal in proposals:
-                self._core.emit(ProposalRejected(proposal.proposal_id, error))
-        return self._core.take_actions()
+                self._core.add_action(ProposalRejected(proposal.proposal_id, error))
+        return self._core.pop_actions()
 
     def change_membership(
         self, proposal_id: str, change: MembershipChange, now: float
     ) -> list[Action]:
         """Start a membership change; its outcome is reported like that of a proposal."""
         self._core.now = now
-        error = self._check_leading()
+        error = self._check_leadership()
         if error is None:
             self._leadership.change_membership(proposal_id, change)
         else:
-            self._core.emit(ProposalRejected(proposal_id, error))
-        self._leave_if_removed()
-        return self._core.take_actions()
+            self._core.add_action(ProposalRejected(proposal_id, error))
+        self._step_down_if_removed()
+        return self._core.pop_actions()
 
     def read_index(self, read_id: str, now: float) -> list[Action]:
-        """Ask for a read that a quorum confirms."""
+        """Start a linearizable read; ``ReadReady`` or ``ReadFailed`` reports the outcome."""
         self._core.now = now
-        error = self._check_leading()
+        error = self._check_leadership()
         if error is None:
             self._leadership.read_index(read_id)
         else:
-            self._core.emit(ReadFailed(read_id, error))
-        return self._core.take_actions()
+            self._core.add_action(ReadFailed(read_id, error))
+        return self._core.pop_actions()
 
     def transfer_leadership(self, now: float) -> list[Action]:
-        """Hand the leadership to the most caught-up voter that answers; does nothing without."""
+        """Transfer the leadership to the most caught-up responsive voter, if there is one."""
         self._core.now = now
         if self._leadership is not None:
             self._leadership.transfer()
-        return self._core.take_actions()
+        return self._core.pop_actions()
 
     def tick(self, now: float) -> list[Action]:
-        """Send heartbeats, check the quorum or start an election, as far as due at ``now``."""
+        """Send heartbeats, check the quorum or start an election if due at ``now``."""
         self._core.now = now
         if self._leadership is not None:
-            if self._check_leading() is None:
+            if self._check_leadership() is None:
                 self._leadership.tick()
         elif now >= self._core.election_due and self._election.start():
-            self._lead()
-        self._leave_if_removed()
-        return self._core.take_actions()
+            self._become_leader()
+        self._step_down_if_removed()
+        return self._core.pop_actions()
 
     def compact(self, index: int, image: bytes) -> list[Action]:
-        """Replace the log up to an applied index by an image of the state machine.
+        """Compact the log up to an applied index into an image of the state machine.
 
-        An index that is already compacted or not applied yet changes nothing.
+        An index that is already compacted or not yet applied is ignored.
         """
         core = self._core
         if core.log.snapshot_index < index <= core.commit_index:
@@ -168,11 +168,11 @@
                 image=image,
             )
             core.log.compact(snapshot)
-            core.emit(PersistSnapshot(snapshot))
-        return core.take_actions()
+            core.add_action(PersistSnapshot(snapshot))
+        return core.pop_actions()
 
     def next_deadline(self) -> float:
-        """Return the time of the next needed tick, in seconds."""
+        """Return the time of the next required tick, in seconds."""
         if self._leadership is not None:
             return self._leadership.replication.heartbeat_due
         return self._core.election_due
@@ -206,12 +206,12 @@
 
     @property
     def heard_at(self) -> float:
-        """Time at which a leader was last heard, or the start."""
+        """Time of the last message from a leader, or of the start, in seconds."""
         return self._core.heard_at
 
     @property
     def members_heard_at(self) -> dict[str, float]:
-        """Time at which each other member answered this leader last; empty elsewhere."""
+        """Time of the last reply of each other member, in seconds; empty unless leading."""
         progress = self._leadership.replication.progress if self._leadership else {}
         return {i: item.heard_at for i, item in progress.items() if i != self._core.node_id}
 
@@ -222,12 +222,12 @@
 
     @property
     def leader_id(self) -> str:
-        """Node id of the known leader, empty if unknown."""
+        """Node id of the leader; empty if unknown."""
         return self._core.leader_id
 
     @property
     def commit_index(self) -> int:
-        """Index of the last committed entry; all committed entries are applied."""
+        """Index of the last entry known to be committed; an ``Apply`` for it has been returned."""
         return self._core.commit_index
 
     @property
@@ -237,15 +237,14 @@
 
     @property
     def membership(self) -> Membership:
-        """Membership in effect: the newest one in the log."""
+        """Membership in effect: the newest one in the log, committed or not."""
         return self._core.log.membership
 
     @property
     def confirmed_at(self) -> float | None:
-        """Time since which the applied state holds every commit; ``None`` unless leading.
+        """Time before which every commit is in the applied state; ``None`` unless leading.
 
-        At this time a round of heartbeats started that a quorum answered. The state that this
-        node has applied holds everything that was committed before.
+        It is the start time, in seconds, of the newest heartbeat round that a quorum replied to.
         """
         return self._leadership.confirmed_at if self._leadership is not None else None
 
@@ -253,84 +252,84 @@
         core = self._core
         if msg.recipient != core.node_id or msg.sender == core.node_id:
             return False
-        own = core.log.membership.cluster_id
-        if own:
-            return msg.cluster_id == own
-        # A node without a membership only answers leaders: one that has added it to its cluster
-        # sends appends and snapshots to this disk id.
+        own_cluster_id = core.log.membership.cluster_id
+        if own_cluster_id:
+            return msg.cluster_id == own_cluster_id
+        # A node without a membership replies only to leaders: a leader that has added it to a
+        # cluster sends appends and snapshots to this disk id.
         core.joining_cluster = msg.cluster_id
-        return bool(msg.cluster_id) and body in _FROM_LEADER
+        return bool(msg.cluster_id) and body in _LEADER_MESSAGES
 
-    def _is_current_term(self, msg: ConsensusMessage, body: str) -> bool:
-        """Adopt a higher term; answer a leader of a lower one so that it steps down."""
+    def _accept_term(self, msg: ConsensusMessage, body: str) -> bool:
+        """Adopt a higher term; reject a leader of a lower term so that it steps down."""
         core = self._core
         if msg.term < core.term:
-            if body in _FROM_LEADER:
+            if body in _LEADER_MESSAGES:
                 core.send(msg.sender, append_reply=AppendReply(success=False))
             return False
         if msg.term > core.term:
-            known = quorum.find(core.log.membership, msg.sender) is not None
-            if body in _TO_LEADER and not known:
+            is_member = quorum.find_member(core.log.membership, msg.sender) is not None
+            if body in _MEMBER_REPLIES and not is_member:
                 return False
-            self._follow(msg.term, msg.sender if body in _FROM_LEADER else "")
+            self._become_follower(msg.term, msg.sender if body in _LEADER_MESSAGES else "")
         return True
 
     def _dispatch(self, msg: ConsensusMessage, body: str) -> None:
         core = self._core
-        if body in _TO_LEADER:
+        if body in _MEMBER_REPLIES:
             if self._leadership is not None:
                 self._leadership.on_reply(msg)
             return
         if self._leadership is not None:
             return
-        core.follow(core.term, msg.sender)
-        core.hear_leader()
+        core.become_follower(core.term, msg.sender)
+        core.record_leader_contact()
         if body == "append_request":
             self._follower.on_append(msg)
         elif body == "install_snapshot":
             self._follower.on_snapshot(msg)
-        elif self._election.start_transferred():
-            self._lead()
+        elif self._election.start_for_transfer():
+            self._become_leader()
 
-    def _check_leading(self) -> BramleycrankError | None:
-        """Step down without a quorum; returns why this node must not accept anything."""
+    def _check_leadership(self) -> BramleycrankError | None:
+        """Step down if the quorum is lost; returns an error unless this node may act as leader."""
         if self._leadership is None:
-            return NotLeader("this node does not lead", leader_address=self._leader_address())
+            return NotLeader("this node is not the leader", leader_address=self._leader_address())
         if self._leadership.has_quorum():
             return None
         core = self._core
-        error = NoQuorum("no majority of the voters answers", outcome=Outcome.NOT_RUN)
+        error = NoQuorum("no majority of the voters responds", outcome=Outcome.NOT_RUN)
         self._step_down(error)
-        # The others may elect a new leader; this node must not refuse its vote as one that hears
-        # a leader.
+        # The other voters may elect a new leader. This node must not refuse its vote as if a
+        # leader were alive.
         core.heard_at = core.now - core.cfg.election_timeout_s[0]
-        core.trusts_until = core.now
+        core.leader_presumed_until = core.now
         return error
 
     def _leader_address(self) -> str:
-        member = quorum.find(self._core.log.membership, self._core.leader_id)
+        member = quorum.find_member(self._core.log.membership, self._core.leader_id)
         return f"{member.host}:{member.port}" if member is not None else ""
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         core = self._core
         core.state = State.LEADER
         core.leader_id = core.node_id
         self._leadership = Leadership(core)
         self._leadership.advance()
 
-    def _follow(self, term: int, leader_id: str) -> None:
-        """Follow in a term; ends the own leadership, whose log is still unchanged here."""
+    def _become_follower(self, term: int, leader_id: str) -> None:
+        """Become a follower; an own leadership ends first, while the log is still unchanged."""
         if self._leadership is not None:
-            self._step_down(NotLeader("another term began"))
-        self._core.follow(term, leader_id)
+            self._step_down(NotLeader("a newer term has started"))
+        self._core.become_follower(term, leader_id)
 
     def _step_down(self, error: BramleycrankError) -> None:
         leadership, self._leadership = self._leadership, None
-        leadership.end(error)
-        self._core.follow(self._core.term, "")
+        leadership.resolve_pending(error)
+        self._core.become_follower(self._core.term, "")
         self._core.reset_election()
 
-    def _leave_if_removed(self) -> None:
-        if self._leadership is not None and self._leadership.removed:
+    def _step_down_if_removed(self) -> None:
+        if self._leadership is not None and self._leadership.is_removed:
             self._leadership.replication.start_round()
             self._step_down(NotLeader("this node was removed from the membership"))
--- a/bramleycrank/consensus/progress.py
+++ b/bramleycrank/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other member."""
+"""Replication progress of one member as the leader knows it."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @attrs.define
 class Progress:
-    """Replication to one member.
+    """Replication progress of one member.
 
     Parameters
     ----------
     next_index : int
-        First entry that has not been sent.
+        Index of the next entry to send.
     heard_at : float
-        Time of the last reply in this term, in seconds; before it the start of the tracking.
+        Time of the last reply in this term, in seconds; without one, the start of the tracking.
     match_index : int
-        Last entry known to be synced on the member.
+        Index of the last entry known to be synced on the member.
     probing : bool
-        Whether the common point of the logs is unknown; then one message at a time is sent.
+        Whether the last common entry of the logs is unknown; then one message is sent at a time.
     acked_round : int
-        Highest heartbeat round that the member answered.
+        Highest heartbeat round that the member replied to.
     snapshot_due : float or None
         Time at which an unanswered snapshot is sent again; ``None`` if none is in flight.
     removed_at : int
@@ -36,16 +36,16 @@
     removed_at: int = 0
 
     def on_match(self, index: int) -> None:
-        """Record that the member's log equals the leader's up to ``index``."""
+        """Record that the member's synced log equals the leader's up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.probing = False
 
     def on_conflict(self, index: int) -> bool:
-        """Move back to ``index``; returns whether that is news, so repeated replies do nothing."""
-        target = max(self.match_index + 1, index)
-        if target >= self.next_index:
+        """Lower ``next_index`` to ``index``; repeated replies return false."""
+        new_next_index = max(self.match_index + 1, index)
+        if new_next_index >= self.next_index:
             return False
-        self.next_index = target
+        self.next_index = new_next_index
         self.probing = True
         return True
--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -1,4 +1,4 @@
-"""Values of the replicated-log core: settings, durable state, membership changes and actions."""
+"""Types of the Raft core: settings, durable state, membership changes and actions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Role(enum.StrEnum):
-    """Role of a node as operators see it."""
+    """Role of a node as shown to operators."""
 
     LEARNER = "learner"
     """Not a voter in the node's own view of the membership."""
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class RaftConfig:
-    """Settings of a node.
+    """Settings of a Raft node.
 
     Parameters
     ----------
@@ -43,18 +43,18 @@
     heartbeat_s : float
         Time between heartbeats of a leader in seconds.
     max_entries_per_append : int
-        Most entries in one message.
+        Maximum number of entries in one message.
     max_uncommitted : int
-        Most entries that a leader holds beyond its commit index; further proposals are rejected.
+        Maximum number of uncommitted entries of a leader; further proposals are rejected.
     snapshot_retry_s : float
-        Time in seconds after which an unanswered snapshot is sent again.
+        Time in seconds after which a snapshot without a reply is sent again.
     restart_s : float
-        Time in seconds after a start in which a node that hears no leader asks for votes often.
+        Time in seconds after a start in which a node without a leader uses ``restart_retry_s``.
     restart_retry_s : tuple of float
-        Shortest and longest time in seconds between two such questions.
+        Shortest and longest election timeout in seconds during ``restart_s``.
     restart_trust_s : float
-        Time in seconds after a start in which a leader may be alive without having been heard; two
-        heartbeats. Until then a node campaigns only if all voters know no leader.
+        Time in seconds after a start, two heartbeats, in which a live leader may not have sent a
+        message to the node yet. Until then an election needs the pre-votes of all voters.
     """
 
     node_id: str
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class DurableState:
-    """What a node finds on its disk at start.
+    """State that a node reads from its disk at start.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class Proposal:
-    """A command to append to the log, with the id that resolves its waiting caller."""
+    """Command to append to the log, with the id under which its outcome is reported."""
 
     proposal_id: str
     command: bytes
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class AddLearner:
-    """Adds a member that receives the log and does not vote; ``member.voter`` is ignored."""
+    """Adds a member that receives the log but does not vote; ``member.voter`` is ignored."""
 
     member: Member
 
@@ -121,14 +121,14 @@
 
 @attrs.frozen
 class Persist:
-    """Write and sync before any later action is executed.
+    """Write to the log and sync it before any later action is executed.
 
     Parameters
     ----------
     hard_state : HardState or None
         New term and vote; ``None`` if unchanged.
     truncate_from : int
-        Drop entries with this index and above first; 0 for none.
+        First drop the entries from this index on; 0 to drop none.
     entries : sequence of Entry
         Entries to append.
     """
@@ -140,14 +140,14 @@
 
 @attrs.frozen
 class PersistSnapshot:
-    """Store the snapshot; entries up to its index and those that conflict with it are dropped."""
+    """Store the snapshot and drop the entries that it covers or conflicts with."""
 
     snapshot: LogSnapshot
 
 
 @attrs.frozen
 class Send:
-    """Send the message to the member ``message.recipient``; losing it is allowed."""
+    """Send the message to the member ``message.recipient``; it may be lost."""
 
     message: ConsensusMessage
 
@@ -161,14 +161,14 @@
 
 @attrs.frozen
 class RestoreState:
-    """Replace the state machine by the image of the snapshot."""
+    """Replace the state machine with the image of the snapshot."""
 
     snapshot: LogSnapshot
 
 
 @attrs.frozen
 class ProposalRejected:
-    """The proposal is in no log and never will be."""
+    """Reports that the proposal is in no log and will not be committed."""
 
     proposal_id: str
     error: BramleycrankError
@@ -176,14 +176,14 @@
 
 @attrs.frozen
 class ProposalUnresolved:
-    """Leadership was lost; the proposal may still be committed."""
+    """Reports that the leadership was lost; the proposal may still be committed."""
 
     proposal_id: str
 
 
 @attrs.frozen
 class ReadReady:
-    """A quorum confirmed the leadership after the read was asked for; ``index`` is applied."""
+    """Reports that a quorum confirmed the leadership for the read; ``index`` is applied."""
 
     read_id: str
     index: int
@@ -191,7 +191,7 @@
 
 @attrs.frozen
 class ReadFailed:
-    """The read cannot be confirmed by this node."""
+    """Reports that this node cannot confirm the read."""
 
     read_id: str
     error: BramleycrankError
@@ -199,7 +199,7 @@
 
 @attrs.frozen
 class RoleChanged:
-    """Role, term or known leader changed; ``leader_id`` is empty if unknown."""
+    """Reports a change of role, term or known leader; ``leader_id`` is empty if unknown."""
 
     role: Role
     term: int
