--- a/bramleycrank/consensus/core.py
+++ b/bramleycrank/consensus/core.py
@@ -58,7 +58,7 @@
         # pre-votes of all voters instead.
         self.leader_presumed_until = now
         self.election_due = 0.0
-        self.joining_cluster = ""
+        self.joining_cluster_id = ""
         self._hard_state_changed = False
         self._truncate_from = 0
         self._new_entries: list[Entry] = []
@@ -74,7 +74,7 @@
     @property
     def cluster_id(self) -> str:
         """Id of this node's cluster; without a membership, that of the last message received."""
-        return self.log.membership.cluster_id or self.joining_cluster
+        return self.log.membership.cluster_id or self.joining_cluster_id
 
     @property
     def is_member(self) -> bool:
@@ -84,12 +84,17 @@
         need the vote of this node. Without that vote the entry could be neither committed nor
         overwritten.
         """
-        return any(quorum.find_member(item, self.node_id) for item in self._memberships())
+        return any(
+            quorum.find_member(item, self.node_id)
+            for item in self._newest_and_committed_memberships()
+        )
 
     @property
     def may_campaign(self) -> bool:
         """Whether this node may request votes; its own counts only if it is still a voter."""
-        return any(quorum.is_voter(item, self.node_id) for item in self._memberships())
+        return any(
+            quorum.is_voter(item, self.node_id) for item in self._newest_and_committed_memberships()
+        )
 
     @property
     def is_voter(self) -> bool:
@@ -211,7 +216,7 @@
         self._new_entries, self._actions = [], []
         return actions
 
-    def _memberships(self) -> tuple[Membership, Membership]:
+    def _newest_and_committed_memberships(self) -> tuple[Membership, Membership]:
         return self.log.membership, self.log.membership_at(self.commit_index)
 
     def _role_state(self) -> tuple[Role, int, str]:
--- a/bramleycrank/consensus/leadership.py
+++ b/bramleycrank/consensus/leadership.py
@@ -129,14 +129,10 @@
         """Stop accepting requests and transfer to the most caught-up voter that responds."""
         core, replication = self._core, self.replication
         responsive = replication.responsive_since(self._core.now - core.cfg.election_timeout_s[0])
-        candidate_ids = set(quorum.voter_ids(core.log.membership)) & set(responsive) - {
-            core.node_id
-        }
-        if not candidate_ids or self.transfer_to:
+        voters = set(quorum.voter_ids(core.log.membership)) & set(responsive) - {core.node_id}
+        if not voters or self.transfer_to:
             return
-        self.transfer_to = max(
-            sorted(candidate_ids), key=lambda n: replication.progress[n].match_index
-        )
+        self.transfer_to = max(sorted(voters), key=lambda n: replication.progress[n].match_index)
         self._transfer_deadline = self._core.now + core.cfg.election_timeout_s[1]
         self._send_timeout_now()
 
@@ -156,14 +152,11 @@
     def advance(self) -> None:
         """Commit entries that a majority synced; process the pending promotion and reads."""
         core = self._core
-        quorum_match_index = self.replication.quorum_match_index()
+        synced_index = self.replication.quorum_match_index()
         # Entries of older terms are committed only through an entry of this term: even if a
         # majority stores them, another leader may still overwrite them.
-        if (
-            quorum_match_index > core.commit_index
-            and core.log.term_at(quorum_match_index) == core.term
-        ):
-            core.commit_to(quorum_match_index)
+        if synced_index > core.commit_index and core.log.term_at(synced_index) == core.term:
+            core.commit_to(synced_index)
             self.replication.drop_removed_members()
         self._advance_promotion()
         replication = self.replication
--- a/bramleycrank/consensus/node.py
+++ b/bramleycrank/consensus/node.py
@@ -257,7 +257,7 @@
             return msg.cluster_id == own_cluster_id
         # A node without a membership replies only to leaders: a leader that has added it to a
         # cluster sends appends and snapshots to this disk id.
-        core.joining_cluster = msg.cluster_id
+        core.joining_cluster_id = msg.cluster_id
         return bool(msg.cluster_id) and body in _LEADER_MESSAGES
 
     def _accept_term(self, msg: ConsensusMessage, body: str) -> bool:
