--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of consensus nodes with in-memory disks, a lossy network and checks of every step."""
+"""Simulated cluster of Raft nodes: in-memory disks, a faulty network and checks at each step."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 def bounded(examples: int, steps: int = 30) -> settings:
-    """Return settings for the profile in use; the long profile runs 40 times the examples."""
-    long = os.environ.get("HYPOTHESIS_PROFILE") == "long"
+    """Return Hypothesis settings; the long profile runs 40 times the examples."""
+    long_profile = os.environ.get("HYPOTHESIS_PROFILE") == "long"
     return settings(
-        max_examples=examples * (40 if long else 1), stateful_step_count=steps * (3 if long else 1)
+        max_examples=examples * (40 if long_profile else 1),
+        stateful_step_count=steps * (3 if long_profile else 1),
     )
 
 
 class MemoryDisk:
-    """Keeps what a node persisted, by the rules of ``LogStore``."""
+    """In-memory stand-in for ``LogStore`` with the same rules."""
 
     def __init__(self) -> None:
         self.snapshot: pb.LogSnapshot | None = None
@@ -44,7 +45,7 @@
 
 @attrs.define(eq=False)
 class SimNode:
-    """One node with its disk and state machine."""
+    """Simulated node with its disk and state machine."""
 
     node_id: str
     disk: MemoryDisk
@@ -53,11 +54,11 @@
     applied: int = 0
     alive: bool = True
     crash_after: int | None = None
-    waiting: set[str] = attrs.field(factory=set)
+    pending_proposals: set[str] = attrs.field(factory=set)
 
 
 class Oracle:
-    """What must hold for the whole cluster, whatever fails."""
+    """Checks the invariants of the whole cluster, which must hold under any faults."""
 
     def __init__(self) -> None:
         self.leaders: dict[int, str] = {}
@@ -69,29 +70,29 @@
         self.acknowledged: dict[str, tuple[int, pb.CommandResult]] = {}
         self.membership = pb.Membership()
         self.versions: dict[str, int] = {}
-        self.first_answers: dict[str, pb.CommandResult] = {}
+        self.first_results: dict[str, pb.CommandResult] = {}
         self.revision = 0
 
     def on_persisted(self, entry: pb.Entry, previous_term: int) -> None:
-        """Log matching: index and term determine the entry and the entry before it."""
+        """Check log matching: index and term determine an entry and the term before it."""
         content = (entry.SerializeToString(), previous_term)
         assert self.contents.setdefault((entry.index, entry.term), content) == content
 
     def on_leader(self, node: SimNode, term: int) -> None:
-        """Election safety, and a leader's log holds every committed entry."""
+        """Check election safety, and that the leader's log holds every committed entry."""
         assert self.leaders.setdefault(term, node.node_id) == node.node_id
-        held = {entry.index: entry.SerializeToString() for entry in node.disk.content.entries}
+        stored = {entry.index: entry.SerializeToString() for entry in node.disk.content.entries}
         start = node.disk.snapshot.index
-        assert all(held.get(i) == data for i, data in self.committed.items() if i > start)
+        assert all(stored.get(i) == data for i, data in self.committed.items() if i > start)
 
     def on_applied(self, entry: pb.Entry, now: float) -> pb.CommandResult:
-        """Return the result that the first node to apply the entry must have computed, too."""
+        """Check that all nodes apply the same entry; return its expected result."""
         data = entry.SerializeToString()
         assert self.committed.setdefault(entry.index, data) == data
         assert entry.proposal_id not in self.rejected
         if entry.index not in self.results:
             self.commit_times[entry.index] = now
-            self.results[entry.index] = self._result(entry)
+            self.results[entry.index] = self._expected_result(entry)
             if entry.WhichOneof("body") == "membership":
                 self.membership = entry.membership
         return self.results[entry.index]
@@ -99,14 +100,14 @@
     def committed_before(self, time: float) -> int:
         return max((i for i, at in self.commit_times.items() if at < time), default=0)
 
-    def _result(self, entry: pb.Entry) -> pb.CommandResult:
-        """Compute the configuration model: versions by name, first answers by change id."""
+    def _expected_result(self, entry: pb.Entry) -> pb.CommandResult:
+        """Compute the result from a model: versions by name and first results by change id."""
         ok = pb.ResultCode.RESULT_CODE_OK
         if entry.WhichOneof("body") != "command":
             return pb.CommandResult(code=ok, revision=self.revision)
         change = pb.Command.FromString(entry.command).change
-        if change.change_id in self.first_answers:
-            return self.first_answers[change.change_id]
+        if change.change_id in self.first_results:
+            return self.first_results[change.change_id]
         name = change.put_service.name
         version = self.versions.get(name, 0)
         if version == change.expected_version:
@@ -115,75 +116,75 @@
         else:
             ok = pb.ResultCode.RESULT_CODE_VERSION_CONFLICT
         result = pb.CommandResult(code=ok, revision=self.revision, version=version)
-        self.first_answers[change.change_id] = result
+        self.first_results[change.change_id] = result
         return result
 
 
 class Cluster:
-    """Nodes, the messages between them, and time."""
+    """Simulated nodes, network and clock."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 100.0
         self.oracle = Oracle()
         self.nodes: dict[str, SimNode] = {}
-        self.lost: set[str] = set()
-        self.cuts: set[tuple[str, str]] = set()
+        self.lost_nodes: set[str] = set()
+        self.partitioned_links: set[tuple[str, str]] = set()
         self.network: list[tuple[float, int, pb.ConsensusMessage]] = []
-        self.loss = self.duplication = 0.0
-        self.max_delay = 0.02
-        self.dropped: Callable[[pb.ConsensusMessage], bool] = lambda msg: False
+        self.loss_probability = self.duplication_probability = 0.0
+        self.max_delay_s = 0.02
+        self.drops_message: Callable[[pb.ConsensusMessage], bool] = lambda msg: False
         self.ids = itertools.count(1)
         self.reads: dict[str, int] = {}
         self.outcomes: dict[str, object] = {}
         members = [pb.Member(node_id=f"vm{i}/0", voter=True) for i in range(size)]
-        self.first = pb.Membership(cluster_id="cluster", members=members)
-        self.oracle.membership = self.first
+        self.initial_membership = pb.Membership(cluster_id="cluster", members=members)
+        self.oracle.membership = self.initial_membership
         for member in members:
             node = self.add(member.node_id)
-            self.execute(node, node.raft.bootstrap(self.first, self.now))
+            self.execute(node, node.raft.bootstrap(self.initial_membership, self.now))
             node.applied = node.raft.commit_index
 
     def add(self, node_id: str) -> SimNode:
         """Start a node with an empty disk."""
         disk = MemoryDisk()
-        node = SimNode(node_id, disk, self._raft(node_id, disk), ReplicatedState())
+        node = SimNode(node_id, disk, self._new_raft_node(node_id, disk), ReplicatedState())
         self.nodes[node_id] = node
         return node
 
     def crash(self, node: SimNode) -> None:
         node.alive, node.crash_after = False, None
-        node.waiting.clear()
+        node.pending_proposals.clear()
 
     def restart(self, node: SimNode) -> None:
-        node.raft = self._raft(node.node_id, node.disk)
+        node.raft = self._new_raft_node(node.node_id, node.disk)
         snapshot = node.disk.snapshot or pb.LogSnapshot()
         node.state = ReplicatedState.from_image(snapshot.image)
         node.applied, node.alive = snapshot.index, True
 
     def lose_disk(self, node: SimNode) -> None:
-        """End a node for good; its VM may start again under a new node id."""
+        """Remove a node with its disk; its VM may start again under a new node id."""
         self.crash(node)
-        self.lost.add(node.node_id)
+        self.lost_nodes.add(node.node_id)
         del self.nodes[node.node_id]
 
     def may_lose(self, node_id: str) -> bool:
-        """Return whether a majority of the voters keeps its disks, in every membership in use."""
+        """Return whether each membership in use would keep a majority of voters with disks."""
         sent = (entry for _, _, msg in self.network for entry in msg.append_request.entries)
-        used = [entry.membership for entry in sent if entry.HasField("membership")]
-        used += [node.raft.membership for node in self.nodes.values()]
-        lost = self.lost | {node_id}
-        voter_ids = [[m.node_id for m in item.members if m.voter] for item in used]
-        if any(len(lost & set(ids)) > (len(ids) - 1) // 2 for ids in voter_ids if ids):
+        memberships = [entry.membership for entry in sent if entry.HasField("membership")]
+        memberships += [node.raft.membership for node in self.nodes.values()]
+        lost_node_ids = self.lost_nodes | {node_id}
+        voter_ids = [[m.node_id for m in item.members if m.voter] for item in memberships]
+        if any(len(lost_node_ids & set(ids)) > (len(ids) - 1) // 2 for ids in voter_ids if ids):
             return False
         is_voter = any(node_id in ids for ids in voter_ids)
-        return is_voter or not any(self.lost & set(ids) for ids in voter_ids)
+        return is_voter or not any(self.lost_nodes & set(ids) for ids in voter_ids)
 
-    def alive(self) -> list[SimNode]:
+    def alive_nodes(self) -> list[SimNode]:
         return [node for node in self.nodes.values() if node.alive]
 
     def leader(self) -> SimNode | None:
-        leaders = [node for node in self.alive() if node.raft.role is raft.Role.LEADER]
+        leaders = [node for node in self.alive_nodes() if node.raft.role is raft.Role.LEADER]
         return max(leaders, key=lambda node: node.raft.term, default=None)
 
     def propose(self, node: SimNode, command: pb.Command) -> str:
@@ -195,13 +196,13 @@
             raft.Proposal(i, command.SerializeToString())
             for i, command in zip(ids, commands, strict=True)
         ]
-        node.waiting.update(ids)
+        node.pending_proposals.update(ids)
         self.execute(node, node.raft.propose(proposals, self.now))
         return ids
 
     def change(self, node: SimNode, change: raft.AddLearner | raft.Promote | raft.Remove) -> str:
         proposal_id = f"m{next(self.ids)}"
-        node.waiting.add(proposal_id)
+        node.pending_proposals.add(proposal_id)
         self.execute(node, node.raft.change_membership(proposal_id, change, self.now))
         return proposal_id
 
@@ -214,11 +215,11 @@
     def compact(self, node: SimNode) -> None:
         self.execute(node, node.raft.compact(node.applied, node.state.image()))
 
-    def run(self, duration: float) -> None:
-        """Let time pass, delivering messages and ticking the nodes when they are due."""
-        end = self.now + duration
+    def run(self, duration_s: float) -> None:
+        """Advance the clock; deliver messages and tick the nodes when due."""
+        end = self.now + duration_s
         while True:
-            ticks = [(node.raft.next_deadline(), node.node_id) for node in self.alive()]
+            ticks = [(node.raft.next_deadline(), node.node_id) for node in self.alive_nodes()]
             tick_at, node_id = min(ticks, default=(end, ""))
             message_at = self.network[0][0] if self.network else end
             at = max(self.now, min(tick_at, message_at))
@@ -232,26 +233,28 @@
                 node = self.nodes[node_id]
                 self.execute(node, node.raft.tick(self.now))
 
-    def settle(self, duration: float = 8.0) -> None:
-        """End all faults, restart what crashed and let the cluster come to rest."""
-        self.cuts.clear()
-        self.loss = self.duplication = 0.0
-        self.max_delay = 0.02
+    def heal_and_run(self, duration_s: float = 8.0) -> None:
+        """Remove all faults, restart crashed nodes and run until the cluster recovers."""
+        self.partitioned_links.clear()
+        self.loss_probability = self.duplication_probability = 0.0
+        self.max_delay_s = 0.02
         for node in self.nodes.values():
             node.crash_after = None
             if not node.alive:
                 self.restart(node)
-        self.run(duration)
+        self.run(duration_s)
 
     def deliver(self, msg: pb.ConsensusMessage) -> None:
         node = self.nodes.get(msg.recipient)
-        cut = (msg.sender, msg.recipient) in self.cuts
-        lost = cut or self.dropped(msg) or self.rng.random() < self.loss
-        if node is not None and node.alive and not lost:
+        is_partitioned = (msg.sender, msg.recipient) in self.partitioned_links
+        is_lost = (
+            is_partitioned or self.drops_message(msg) or self.rng.random() < self.loss_probability
+        )
+        if node is not None and node.alive and not is_lost:
             self.execute(node, node.raft.receive(msg, self.now))
 
     def execute(self, node: SimNode, actions: list[object]) -> None:
-        """Execute actions in order; a crash may come between any two of them."""
+        """Execute actions in order; the node may crash between any two of them."""
         for action in actions:
             if node.crash_after is not None:
                 if node.crash_after == 0:
@@ -271,10 +274,10 @@
                 node.disk.save_snapshot(snapshot)
             case raft.RestoreState(snapshot):
                 assert snapshot.index > node.applied
-                before = node.state.config.revision
+                revision_before = node.state.config.revision
                 node.state = ReplicatedState.from_image(snapshot.image)
                 node.applied = snapshot.index
-                assert node.state.config.revision >= before
+                assert node.state.config.revision >= revision_before
             case raft.Send(message):
                 self._check_synced(node, message)
                 self._send(message)
@@ -282,13 +285,13 @@
                 for entry in entries:
                     self._apply(node, entry)
             case raft.ProposalRejected(proposal_id, error):
-                assert proposal_id in node.waiting
-                node.waiting.discard(proposal_id)
+                assert proposal_id in node.pending_proposals
+                node.pending_proposals.discard(proposal_id)
                 self.oracle.rejected.add(proposal_id)
                 self.outcomes[proposal_id] = error
             case raft.ProposalUnresolved(proposal_id):
-                assert proposal_id in node.waiting
-                node.waiting.discard(proposal_id)
+                assert proposal_id in node.pending_proposals
+                node.pending_proposals.discard(proposal_id)
                 self.outcomes[proposal_id] = action
             case raft.ReadReady(read_id, index):
                 assert self.reads[read_id] <= index <= node.applied
@@ -303,7 +306,7 @@
                 raise AssertionError(action)
 
     def _check_synced(self, node: SimNode, msg: pb.ConsensusMessage) -> None:
-        """Check that what the message promises is on the disk before it leaves."""
+        """Check that the state that a message relies on is on the disk before it is sent."""
         hard, content = node.disk.content.hard_state, node.disk.content
         if msg.HasField("vote_reply") and msg.vote_reply.granted and not msg.vote_reply.pre_vote:
             assert (hard.term, hard.voted_for) == (msg.term, msg.recipient)
@@ -321,31 +324,31 @@
         content = node.disk.content
         for entry in action.entries:
             position = entry.index - content.first_index
-            first = position == 0
-            before = node.disk.snapshot if first else content.entries[position - 1]
-            self.oracle.on_persisted(entry, before.term)
+            is_first = position == 0
+            previous = node.disk.snapshot if is_first else content.entries[position - 1]
+            self.oracle.on_persisted(entry, previous.term)
 
     def _apply(self, node: SimNode, entry: pb.Entry) -> None:
         assert entry.index == node.applied + 1
         node.applied = entry.index
-        before = node.state.config.revision
+        revision_before = node.state.config.revision
         result = node.state.apply(entry)
         expected = self.oracle.on_applied(entry, self.now)
-        found = (result.code, result.revision, result.version)
-        assert found == (expected.code, expected.revision, expected.version)
-        assert result.revision >= 0 <= node.state.config.revision - before
-        if entry.proposal_id in node.waiting:
-            node.waiting.discard(entry.proposal_id)
+        actual = (result.code, result.revision, result.version)
+        assert actual == (expected.code, expected.revision, expected.version)
+        assert result.revision >= 0 <= node.state.config.revision - revision_before
+        if entry.proposal_id in node.pending_proposals:
+            node.pending_proposals.discard(entry.proposal_id)
             self.oracle.acknowledged[entry.proposal_id] = (entry.index, result)
             self.outcomes[entry.proposal_id] = result
 
     def _send(self, msg: pb.ConsensusMessage) -> None:
-        copies = 2 if self.rng.random() < self.duplication else 1
+        copies = 2 if self.rng.random() < self.duplication_probability else 1
         for _ in range(copies):
-            due = self.now + self.rng.uniform(0.001, self.max_delay)
+            due = self.now + self.rng.uniform(0.001, self.max_delay_s)
             heapq.heappush(self.network, (due, next(self.ids), msg))
 
-    def _raft(self, node_id: str, disk: MemoryDisk) -> raft.RaftNode:
+    def _new_raft_node(self, node_id: str, disk: MemoryDisk) -> raft.RaftNode:
         cfg = raft.RaftConfig(node_id, max_entries_per_append=3, snapshot_retry_s=0.5)
         rng = random.Random(self.rng.getrandbits(32))
         return raft.RaftNode.from_config(cfg, disk.load(), rng, self.now)
@@ -360,5 +363,5 @@
 
 def isolate(cluster: Cluster, *node_ids: str) -> None:
     others = set(cluster.nodes) - set(node_ids)
-    cluster.cuts = {(a, b) for a in node_ids for b in others}
-    cluster.cuts |= {(b, a) for a, b in cluster.cuts}
+    cluster.partitioned_links = {(a, b) for a in node_ids for b in others}
+    cluster.partitioned_links |= {(b, a) for a, b in cluster.partitioned_links}
--- a/tests/test_storage_config_cache.py
+++ b/tests/test_storage_config_cache.py
@@ -1,11 +1,11 @@
-"""Tests of the stored configuration."""
+"""Tests of the configuration cache."""
 
 from bramleycrank.proto.log_pb2 import ConfigImage, ServiceConfig
 from bramleycrank.storage import ConfigCache
 
 
-def test_the_newest_image_is_kept_and_a_damaged_one_is_not_used(tmp_path):
-    """Guards against a VM that starts on an older or on a damaged configuration."""
+def test_the_newest_image_is_kept_and_a_damaged_one_is_ignored(tmp_path):
+    """Guards against a VM that starts with an outdated or damaged configuration."""
     cache = ConfigCache.open(tmp_path)
     assert cache.load() is None
     newer = ConfigImage(revision=7, services=[ServiceConfig(name="archivio", version=7)])
--- a/tests/test_storage_log_store.py
+++ b/tests/test_storage_log_store.py
@@ -1,4 +1,4 @@
-"""Tests of the data folder: crashes at any point, damage, identity and the lock."""
+"""Tests of the data folder: power loss at any point, damage, identity and lock."""
 
 import os
 import shutil
@@ -18,21 +18,21 @@
 
 
 class Crash(Exception):
-    """The machine loses power before a sync."""
+    """Simulated power loss before a sync."""
 
 
 @attrs.define(eq=False)
 class SyncedFile:
-    """What is synced of one file, whatever its name is."""
+    """Synced content of one file, under any name."""
 
     content: bytes = b""
 
 
 class PowerLoss:
-    """Watches file calls in one folder and knows what a power loss would leave.
+    """Tracks file operations in one folder to simulate its state after a power loss.
 
-    A file keeps what was synced and any part of what was appended since. Names keep what they
-    were at the folder's last sync, or what they are now.
+    A file keeps its synced content and any prefix of the bytes appended since. The file names are
+    those of the folder's last sync, or the current ones.
     """
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -67,10 +67,10 @@
         else:
             self.current.setdefault(path.name, SyncedFile()).content = path.read_bytes()
 
-    def leave(self, target: Path, new_names: bool, torn_bytes: int) -> None:
-        """Write what is left to another folder."""
+    def write_remains(self, target: Path, current_names: bool, torn_bytes: int) -> None:
+        """Write the state after the power loss to another folder."""
         target.mkdir()
-        for name, file in (self.current if new_names else self.durable).items():
+        for name, file in (self.current if current_names else self.durable).items():
             real = self.folder / name
             written = real.read_bytes() if real.exists() else b""
             tail = written[len(file.content) :] if written.startswith(file.content) else b""
@@ -82,7 +82,7 @@
 
 
 def next_persist(disk: MemoryDisk, data: st.DataObject) -> Persist:
-    """Draw a persist action that is allowed after what the disk holds."""
+    """Draw a persist action that is valid for the content of the disk."""
     content = disk.content
     last = content.first_index + len(content.entries) - 1
     term = content.hard_state.term + data.draw(st.integers(0, 1))
@@ -94,15 +94,15 @@
 
 
 def next_snapshot(disk: MemoryDisk, data: st.DataObject) -> LogSnapshot:
-    """Draw a snapshot of own entries, or one of a leader that contradicts them."""
+    """Draw a snapshot of own entries, or one of a leader that conflicts with them."""
     content = disk.content
     offset = data.draw(st.integers(0, len(content.entries) + 1))
-    own = content.entries[offset].term if offset < len(content.entries) else 99
-    term = data.draw(st.sampled_from([own, 99]))
+    own_term = content.entries[offset].term if offset < len(content.entries) else 99
+    term = data.draw(st.sampled_from([own_term, 99]))
     return LogSnapshot(index=content.first_index + offset, term=term, image=b"image")
 
 
-def held(durable) -> tuple:
+def as_tuple(durable) -> tuple:
     return (durable.hard_state, durable.snapshot, list(durable.entries))
 
 
@@ -116,7 +116,7 @@
         folder, disk = root / "data", MemoryDisk()
         power = PowerLoss(folder, monkeypatch)
         store = LogStore.open(folder, "vm")
-        allowed = [held(disk.load())]
+        allowed = [as_tuple(disk.load())]
         crash_in = data.draw(st.integers(0, 8))
         for step in range(8):
             if step == crash_in:
@@ -131,16 +131,16 @@
                     disk.save_snapshot(snapshot)
                     store.save_snapshot(snapshot)
             except Crash:
-                allowed.append(held(disk.load()))
+                allowed.append(as_tuple(disk.load()))
                 break
-            allowed = [held(disk.load())]
-        power.leave(root / "left", data.draw(st.booleans()), data.draw(st.integers(0, 200)))
+            allowed = [as_tuple(disk.load())]
+        power.write_remains(root / "left", data.draw(st.booleans()), data.draw(st.integers(0, 200)))
         node_id = store.node_id
         store.close()
         power.syncs_left = None
         reopened = LogStore.open(root / "left", "vm")
         assert reopened.node_id == node_id
-        assert held(reopened.load()) in allowed
+        assert as_tuple(reopened.load()) in allowed
         reopened.persist(Persist(HardState(term=1000)))
         reopened.close()
         again = LogStore.open(root / "left", "vm")
@@ -151,22 +151,22 @@
         shutil.rmtree(root)
 
 
-@pytest.mark.parametrize("new_names", [False, True])
+@pytest.mark.parametrize("current_names", [False, True])
 @pytest.mark.parametrize("syncs", range(5))
-def test_a_power_loss_while_the_folder_is_made_does_no_harm(
-    tmp_path, monkeypatch, syncs, new_names
+def test_a_power_loss_while_the_folder_is_created_leaves_it_usable(
+    tmp_path, monkeypatch, syncs, current_names
 ):
-    """Guards against a half-made folder that stops a new VM from starting."""
+    """Guards against a partially created folder that prevents a new VM from starting."""
     with monkeypatch.context() as patch:
         power = PowerLoss(tmp_path / "data", patch)
         power.syncs_left = syncs
         try:
             LogStore.open(tmp_path / "data", "vm").close()
         except Crash:
-            power.leave(tmp_path / "left", new_names, 10)
+            power.write_remains(tmp_path / "left", current_names, 10)
     if (tmp_path / "left").exists():
         store = LogStore.open(tmp_path / "left", "vm")
-        assert held(store.load()) == held(MemoryDisk().load())
+        assert as_tuple(store.load()) == as_tuple(MemoryDisk().load())
         store.close()
     else:
         assert syncs == 4
@@ -199,8 +199,8 @@
 
 
 @pytest.mark.parametrize("tail", [b"", b"\0" * 40, b"\xff" * 40], ids=["cut", "zeros", "ones"])
-def test_a_log_cut_at_any_byte_of_its_last_frame_opens_without_it(folder, tail):
-    """Guards against a torn write that stops a node from starting, or that is half read."""
+def test_a_log_truncated_at_any_byte_of_its_last_frame_opens_without_it(folder, tail):
+    """Guards against a torn write that prevents a start or is read in part."""
     path = folder / "log-1"
     data = path.read_bytes()
     *_, start, end = frame_ends(data)
@@ -213,7 +213,7 @@
 
 
 def test_any_damaged_byte_before_the_last_frame_is_an_error(folder):
-    """Guards against a node that forgets its vote or its entries because of a bad disk."""
+    """Guards against a node that loses its vote or entries because of disk corruption."""
     path = folder / "log-1"
     data = path.read_bytes()
     last = frame_ends(data)[-2]
@@ -225,8 +225,8 @@
     assert reopened_term(folder) == 3
 
 
-def test_a_stored_payload_that_looks_like_a_frame_is_no_damage(tmp_path):
-    """Guards against a caller whose stored answer stops a node after a torn write."""
+def test_a_stored_payload_that_looks_like_a_frame_is_not_reported_as_damage(tmp_path):
+    """Guards against a stored answer of a caller that prevents a start after a torn write."""
     folder = tmp_path / "data"
     store = LogStore.open(folder, "vm")
     inner = LogStore.open(tmp_path / "other", "vm")
@@ -241,18 +241,18 @@
 
 
 @pytest.mark.parametrize(
-    ("lost", "error"),
+    ("missing_file", "error"),
     [("log-1", CorruptLog), ("snapshot-1", CorruptLog), ("identity", StorageError)],
 )
-def test_a_folder_that_lost_a_file_is_not_used(folder, lost, error):
-    """Guards against a node that votes again under an identity whose votes are lost."""
-    (folder / lost).unlink()
+def test_a_folder_with_a_missing_file_is_rejected(folder, missing_file, error):
+    """Guards against a second vote in a term under an identity whose votes are lost."""
+    (folder / missing_file).unlink()
     with pytest.raises(error):
         LogStore.open(folder, "vm")
 
 
-def test_the_folder_has_one_owner_and_a_lost_one_gets_a_new_identity(folder):
-    """Guards against two processes in one folder, and a new disk under an old node id."""
+def test_a_folder_has_one_owner_and_a_recreated_one_gets_a_new_identity(folder):
+    """Guards against two processes in one folder and a new disk under an old node id."""
     store = LogStore.open(folder, "vm")
     with pytest.raises(FolderInUse):
         LogStore.open(folder, "vm")
@@ -266,7 +266,7 @@
 
 
 def test_nothing_is_written_after_a_failed_write(folder, monkeypatch):
-    """Guards against records behind a half-written one, which would look like damage."""
+    """Guards against records after a partially written one, which would look like damage."""
     store = LogStore.open(folder, "vm")
 
     def fail(fd: int) -> None:
