--- a/bramleycrank/consensus/election.py
+++ b/bramleycrank/consensus/election.py
@@ -26,7 +26,7 @@
         self._granted_by: set[str] = set()
 
     def start(self) -> bool:
-        """Request pre-votes after an election timeout; returns whether it won at once."""
+        """Request pre-votes after an election timeout; returns whether the node already won."""
         core = self._core
         core.leader_id = ""
         core.state = State.FOLLOWER
--- a/bramleycrank/consensus/replication.py
+++ b/bramleycrank/consensus/replication.py
@@ -114,8 +114,8 @@
 
     def quorum_match_index(self) -> int:
         """Return the highest index that a majority of the voters has synced."""
-        own_value = self._core.log.last_index
-        return int(self._quorum_value(own_value, lambda progress: progress.match_index))
+        own_index = self._core.log.last_index
+        return int(self._quorum_value(own_index, lambda progress: progress.match_index))
 
     def quorum_contact_at(self) -> float:
         """Return the latest time at or after which a majority of the voters has replied."""
@@ -127,25 +127,28 @@
         A member that never replied does not count: its ``heard_at`` is the start of its tracking,
         which only allows it time to reply.
         """
-        heard = [
+        responsive = [
             node_id
             for node_id, progress in self.progress.items()
             if progress.acked_round and progress.heard_at >= since
         ]
-        return [self._core.node_id, *heard]
+        return [self._core.node_id, *responsive]
 
     def update_confirmed_round(self) -> None:
         """Update the newest round that a majority of the voters replied to."""
-        newest = int(self._quorum_value(self.round, lambda progress: progress.acked_round))
-        if newest > self.confirmed_round:
-            self.confirmed_round = newest
-            self.confirmed_at = self._round_started_at[newest]
-            older_rounds = [number for number in self._round_started_at if number < newest]
+        newest_round = int(self._quorum_value(self.round, lambda progress: progress.acked_round))
+        if newest_round > self.confirmed_round:
+            self.confirmed_round = newest_round
+            self.confirmed_at = self._round_started_at[newest_round]
+            older_rounds = [number for number in self._round_started_at if number < newest_round]
             for number in older_rounds:
                 del self._round_started_at[number]
 
     def _quorum_value(self, own_value: float, value_of: Callable[[Progress], float]) -> float:
-        """Return the highest value that a majority reached; the own one counts if a voter."""
+        """Return the highest value that a majority of the voters reached.
+
+        ``own_value`` counts if this node is a voter.
+        """
         core = self._core
         values = [
             own_value if node_id == core.node_id else value_of(self.progress[node_id])
--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -45,7 +45,7 @@
 
 @attrs.define(eq=False)
 class SimNode:
-    """Simulated node with its disk and state machine."""
+    """Simulated node; `waiting` holds the ids of its unresolved proposals."""
 
     node_id: str
     disk: MemoryDisk
@@ -54,7 +54,7 @@
     applied: int = 0
     alive: bool = True
     crash_after: int | None = None
-    pending_proposals: set[str] = attrs.field(factory=set)
+    waiting: set[str] = attrs.field(factory=set)
 
 
 class Oracle:
@@ -154,7 +154,7 @@
 
     def crash(self, node: SimNode) -> None:
         node.alive, node.crash_after = False, None
-        node.pending_proposals.clear()
+        node.waiting.clear()
 
     def restart(self, node: SimNode) -> None:
         node.raft = self._new_raft_node(node.node_id, node.disk)
@@ -196,13 +196,13 @@
             raft.Proposal(i, command.SerializeToString())
             for i, command in zip(ids, commands, strict=True)
         ]
-        node.pending_proposals.update(ids)
+        node.waiting.update(ids)
         self.execute(node, node.raft.propose(proposals, self.now))
         return ids
 
     def change(self, node: SimNode, change: raft.AddLearner | raft.Promote | raft.Remove) -> str:
         proposal_id = f"m{next(self.ids)}"
-        node.pending_proposals.add(proposal_id)
+        node.waiting.add(proposal_id)
         self.execute(node, node.raft.change_membership(proposal_id, change, self.now))
         return proposal_id
 
@@ -285,13 +285,13 @@
                 for entry in entries:
                     self._apply(node, entry)
             case raft.ProposalRejected(proposal_id, error):
-                assert proposal_id in node.pending_proposals
-                node.pending_proposals.discard(proposal_id)
+                assert proposal_id in node.waiting
+                node.waiting.discard(proposal_id)
                 self.oracle.rejected.add(proposal_id)
                 self.outcomes[proposal_id] = error
             case raft.ProposalUnresolved(proposal_id):
-                assert proposal_id in node.pending_proposals
-                node.pending_proposals.discard(proposal_id)
+                assert proposal_id in node.waiting
+                node.waiting.discard(proposal_id)
                 self.outcomes[proposal_id] = action
             case raft.ReadReady(read_id, index):
                 assert self.reads[read_id] <= index <= node.applied
@@ -337,8 +337,8 @@
         actual = (result.code, result.revision, result.version)
         assert actual == (expected.code, expected.revision, expected.version)
         assert result.revision >= 0 <= node.state.config.revision - revision_before
-        if entry.proposal_id in node.pending_proposals:
-            node.pending_proposals.discard(entry.proposal_id)
+        if entry.proposal_id in node.waiting:
+            node.waiting.discard(entry.proposal_id)
             self.oracle.acknowledged[entry.proposal_id] = (entry.index, result)
             self.outcomes[entry.proposal_id] = result
 
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -159,7 +159,7 @@
         members = {m.node_id for m in cluster.oracle.membership.members}
         nodes = [node for node in cluster.nodes.values() if node.node_id in members]
         assert len({node.state.image() for node in nodes}) == 1
-        assert not any(node.pending_proposals for node in cluster.nodes.values())
+        assert not any(node.waiting for node in cluster.nodes.values())
         assert all(node.raft.membership == cluster.oracle.membership for node in nodes)
 
 
@@ -259,7 +259,7 @@
     assert leader.raft.role is not Role.LEADER
     assert leader.raft.confirmed_at is None
     assert isinstance(cluster.outcomes[open_read], errors.NoQuorum)
-    assert not leader.pending_proposals and open_proposal not in cluster.oracle.acknowledged
+    assert not leader.waiting and open_proposal not in cluster.oracle.acknowledged
     refused = cluster.propose(leader, put("later", 0, "later"))
     assert isinstance(cluster.outcomes[refused], errors.NotLeader)
     cluster.run(1.7)
--- a/tests/test_storage_log_store.py
+++ b/tests/test_storage_log_store.py
@@ -241,12 +241,12 @@
 
 
 @pytest.mark.parametrize(
-    ("missing_file", "error"),
+    ("lost", "error"),
     [("log-1", CorruptLog), ("snapshot-1", CorruptLog), ("identity", StorageError)],
 )
-def test_a_folder_with_a_missing_file_is_rejected(folder, missing_file, error):
+def test_a_folder_with_a_missing_file_is_rejected(folder, lost, error):
     """Guards against a second vote in a term under an identity whose votes are lost."""
-    (folder / missing_file).unlink()
+    (folder / lost).unlink()
     with pytest.raises(error):
         LogStore.open(folder, "vm")
 
