--- a/bramleycrank/storage/log_store.py
+++ b/bramleycrank/storage/log_store.py
@@ -194,7 +194,7 @@
         if self._snapshot is not None and snapshot.index <= self._snapshot.index:
             return
         generation, old_segment = self._generation + 1, self._segment
-        content = old_segment.content.after(snapshot)
+        content = old_segment.content.retained_after(snapshot)
         seed = self._identity.seed
         segment = Segment.create(_generation_path(self._folder, "log", generation), seed, content)
         frame = encode_frame(snapshot.SerializeToString(), seed)
--- a/bramleycrank/storage/segment.py
+++ b/bramleycrank/storage/segment.py
@@ -28,7 +28,7 @@
     hard_state: HardState = attrs.field(factory=HardState)
     entries: list[Entry] = attrs.field(factory=list)
 
-    def persist(self, action: Persist) -> None:
+    def apply(self, action: Persist) -> None:
         """Apply an action; raises ``CorruptLog`` if the entry indexes are not contiguous."""
         if action.hard_state is not None:
             self.hard_state = action.hard_state
@@ -50,7 +50,7 @@
                 case _:
                     raise CorruptLog("the log has a record of unknown type")
 
-    def after(self, snapshot: LogSnapshot) -> SegmentContent:
+    def retained_after(self, snapshot: LogSnapshot) -> SegmentContent:
         """Return the hard state and the entries to keep after a snapshot.
 
         Entries after the snapshot are kept only if the last entry that it covers is in the segment
@@ -122,7 +122,7 @@
         while unwritten:
             unwritten = unwritten[self._file.write(unwritten) :]
         os.fsync(self._file.fileno())
-        self.content.persist(action)
+        self.content.apply(action)
 
     def close(self) -> None:
         """Close the segment file."""
--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -39,7 +39,7 @@
         )
 
     def save_snapshot(self, snapshot: pb.LogSnapshot) -> None:
-        self.content = self.content.after(snapshot)
+        self.content = self.content.retained_after(snapshot)
         self.snapshot = snapshot
 
 
@@ -317,7 +317,7 @@
 
     def _persist(self, node: SimNode, action: raft.Persist) -> None:
         old = node.disk.content.hard_state
-        node.disk.content.persist(action)
+        node.disk.content.apply(action)
         new = node.disk.content.hard_state
         assert new.term >= old.term
         assert new.term > old.term or old.voted_for in ("", new.voted_for)
--- a/tests/test_storage_log_store.py
+++ b/tests/test_storage_log_store.py
@@ -124,7 +124,7 @@
             try:
                 if data.draw(st.integers(0, 3)):
                     action = next_persist(disk, data)
-                    disk.content.persist(action)
+                    disk.content.apply(action)
                     store.persist(action)
                 else:
                     snapshot = next_snapshot(disk, data)
