--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -111,7 +111,7 @@
     _mechanism(
         "elections soon after a restart",
         "all voters lose power",
-        ("consensus/types", "restart_s", "0.0"),
+        ("consensus/types", "restart_window_s", "0.0"),
     ),
     _mechanism(
         "reports wait for the join",
--- a/bramleycrank/consensus/core.py
+++ b/bramleycrank/consensus/core.py
@@ -113,7 +113,9 @@
     @property
     def recently_started(self) -> bool:
         """Whether this node started recently and has received no message from a leader since."""
-        return not self.had_leader_contact and self.now < self.started_at + self.cfg.restart_s
+        return (
+            not self.had_leader_contact and self.now < self.started_at + self.cfg.restart_window_s
+        )
 
     @property
     def needs_all_pre_votes(self) -> bool:
--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -48,10 +48,10 @@
         Maximum number of uncommitted entries of a leader; further proposals are rejected.
     snapshot_retry_s : float
         Time in seconds after which a snapshot without a reply is sent again.
-    restart_s : float
+    restart_window_s : float
         Time in seconds after a start in which a node without a leader uses ``restart_retry_s``.
     restart_retry_s : tuple of float
-        Shortest and longest election timeout in seconds during ``restart_s``.
+        Shortest and longest election timeout in seconds during ``restart_window_s``.
     restart_trust_s : float
         Time in seconds after a start, two heartbeats, in which a live leader may not have sent a
         message to the node yet. Until then an election needs the pre-votes of all voters.
@@ -63,7 +63,7 @@
     max_entries_per_append: int = 256
     max_uncommitted: int = 8192
     snapshot_retry_s: float = 3.0
-    restart_s: float = 3.0
+    restart_window_s: float = 3.0
     restart_retry_s: tuple[float, float] = (0.03, 0.12)
     restart_trust_s: float = 0.3
 
