--- a/bramleycrank/consensus/core.py
+++ b/bramleycrank/consensus/core.py
@@ -142,7 +142,7 @@
         if self.log.membership.members and not self.is_voter:
             range_s = tuple(limit_s + cfg.election_timeout_s[1] for limit_s in range_s)
         elif self.recently_started:
-            range_s = cfg.restart_retry_s
+            range_s = cfg.restart_election_timeout_s
         self.election_due = self.now + self.rng.uniform(*range_s)
 
     def set_term(self, term: int, voted_for: str) -> None:
--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -49,8 +49,8 @@
     snapshot_retry_s : float
         Time in seconds after which a snapshot without a reply is sent again.
     restart_window_s : float
-        Time in seconds after a start in which a node without a leader uses ``restart_retry_s``.
-    restart_retry_s : tuple of float
+        Time in seconds after a start in which a node without a leader uses ``restart_election_timeout_s``.
+    restart_election_timeout_s : tuple of float
         Shortest and longest election timeout in seconds during ``restart_window_s``.
     restart_trust_s : float
         Time in seconds after a start, two heartbeats, in which a live leader may not have sent a
@@ -64,7 +64,7 @@
     max_uncommitted: int = 8192
     snapshot_retry_s: float = 3.0
     restart_window_s: float = 3.0
-    restart_retry_s: tuple[float, float] = (0.03, 0.12)
+    restart_election_timeout_s: tuple[float, float] = (0.03, 0.12)
     restart_trust_s: float = 0.3
 
 
