--- a/bramleycrank/consensus/core.py
+++ b/bramleycrank/consensus/core.py
@@ -120,7 +120,9 @@
     @property
     def needs_all_pre_votes(self) -> bool:
         """Whether an election needs all pre-votes, since an unseen leader may be alive."""
-        return self.recently_started and self.now < self.started_at + self.cfg.restart_trust_s
+        return (
+            self.recently_started and self.now < self.started_at + self.cfg.restart_all_pre_votes_s
+        )
 
     def record_leader_contact(self) -> None:
         """Record a message from the leader and restart the election timeout."""
--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -52,7 +52,7 @@
         Time in seconds after a start in which a node without a leader uses ``restart_election_timeout_s``.
     restart_election_timeout_s : tuple of float
         Shortest and longest election timeout in seconds during ``restart_window_s``.
-    restart_trust_s : float
+    restart_all_pre_votes_s : float
         Time in seconds after a start, two heartbeats, in which a live leader may not have sent a
         message to the node yet. Until then an election needs the pre-votes of all voters.
     """
@@ -65,7 +65,7 @@
     snapshot_retry_s: float = 3.0
     restart_window_s: float = 3.0
     restart_election_timeout_s: tuple[float, float] = (0.03, 0.12)
-    restart_trust_s: float = 0.3
+    restart_all_pre_votes_s: float = 0.3
 
 
 @attrs.frozen
