--- a/bramleycrank/consensus/leadership.py
+++ b/bramleycrank/consensus/leadership.py
@@ -85,7 +85,7 @@
         """Append the proposed commands as one batch; reject those beyond the uncommitted limit."""
         core = self._core
         error = self._transfer_error()
-        free_entries = core.cfg.max_uncommitted - (core.log.last_index - core.commit_index)
+        free_entries = core.cfg.max_uncommitted_entries - (core.log.last_index - core.commit_index)
         accepted = [] if error else proposals[: max(0, free_entries)]
         for proposal in proposals[len(accepted) :]:
             rejection = error or NoQuorum("too many uncommitted entries", outcome=Outcome.NOT_RUN)
--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -44,7 +44,7 @@
         Time between heartbeats of a leader in seconds.
     max_entries_per_append : int
         Maximum number of entries in one message.
-    max_uncommitted : int
+    max_uncommitted_entries : int
         Maximum number of uncommitted entries of a leader; further proposals are rejected.
     snapshot_retry_s : float
         Time in seconds after which a snapshot without a reply is sent again.
@@ -61,7 +61,7 @@
     election_timeout_s: tuple[float, float] = (0.6, 1.2)
     heartbeat_s: float = 0.15
     max_entries_per_append: int = 256
-    max_uncommitted: int = 8192
+    max_uncommitted_entries: int = 8192
     snapshot_retry_s: float = 3.0
     restart_window_s: float = 3.0
     restart_election_timeout_s: tuple[float, float] = (0.03, 0.12)
