--- a/bramleycrank/consensus/node.py
+++ b/bramleycrank/consensus/node.py
@@ -210,7 +210,7 @@
         return self._core.heard_at
 
     @property
-    def members_heard_at(self) -> dict[str, float]:
+    def members_last_reply_at(self) -> dict[str, float]:
         """Time of the last reply of each other member, in seconds; empty unless leading."""
         progress = self._leadership.replication.progress if self._leadership else {}
         return {i: item.heard_at for i, item in progress.items() if i != self._core.node_id}
--- a/bramleycrank/daemon/consensus_controller.py
+++ b/bramleycrank/daemon/consensus_controller.py
@@ -219,7 +219,7 @@
     def member_silence_s(self) -> dict[str, float]:
         """Return the seconds since each other member answered this leader; empty elsewhere."""
         now = asyncio.get_running_loop().time()
-        heard_at = self._node.members_heard_at if self._node else {}
+        heard_at = self._node.members_last_reply_at if self._node else {}
         return {node_id: now - at for node_id, at in heard_at.items()}
 
     def leader_silence_s(self) -> float:
