--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -17,7 +17,7 @@
 from bramleycrank.storage.segment import SegmentContent
 
 
-def bounded(examples: int, steps: int = 30) -> settings:
+def hypothesis_settings(examples: int, steps: int = 30) -> settings:
     """Return Hypothesis settings; the long profile runs 40 times the examples."""
     long_profile = os.environ.get("HYPOTHESIS_PROFILE") == "long"
     return settings(
--- a/tests/test_consensus_membership.py
+++ b/tests/test_consensus_membership.py
@@ -1,7 +1,7 @@
 """Tests of membership changes of the Raft node: learners, promotions and removals."""
 
 import pytest
-from consensus_cluster import Cluster, bounded, isolate, put
+from consensus_cluster import Cluster, hypothesis_settings, isolate, put
 from hypothesis import example, given
 from hypothesis import strategies as st
 
@@ -54,7 +54,7 @@
     return change.node_id not in voters
 
 
-@bounded(25)
+@hypothesis_settings(25)
 @given(seed=st.integers(0, 2**32), loss_probability=st.floats(0, 0.2), wait_s=st.floats(0, 0.5))
 @example(seed=1735, loss_probability=0.171875, wait_s=0.0)
 def test_commits_survive_a_second_disk_loss_right_after_a_replacement(
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from consensus_cluster import Cluster, bounded, isolate, put
+from consensus_cluster import Cluster, hypothesis_settings, isolate, put
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
@@ -163,7 +163,7 @@
         assert all(node.raft.membership == cluster.oracle.membership for node in nodes)
 
 
-FaultyCluster.TestCase.settings = bounded(120, 40)
+FaultyCluster.TestCase.settings = hypothesis_settings(120, 40)
 TestFaultyCluster = FaultyCluster.TestCase
 
 
@@ -200,7 +200,7 @@
                 cluster.propose(chosen, put(f"s{count}", 0, f"c{count}"))
 
 
-@bounded(60)
+@hypothesis_settings(60)
 @given(seed=st.integers(0, 2**32), size=st.sampled_from([3, 3, 5]))
 def test_frequent_faults_neither_lose_nor_reorder_commits(seed, size):
     """Guards against lost commits and two leaders in one term when elections are frequent."""
@@ -214,7 +214,7 @@
     assert len({node.state.image() for node in cluster.nodes.values()}) == 1
 
 
-@bounded(40)
+@hypothesis_settings(40)
 @given(
     seed=st.integers(0, 2**32),
     silent_s=st.floats(0.5, 100),
@@ -364,7 +364,7 @@
         cluster.run(cluster.rng.uniform(0, 2 * spread_s / len(cluster.nodes)))
 
 
-@bounded(200)
+@hypothesis_settings(200)
 @given(seed=st.integers(0, 2**32), size=st.sampled_from([3, 5]))
 def test_a_leader_is_elected_soon_after_all_voters_restart(seed, size):
     """Guards against long election timeouts after all voters lost power and restart together."""
@@ -380,7 +380,7 @@
     assert leader.raft.commit_index >= cluster.oracle.acknowledged[proposal][0]
 
 
-@bounded(100)
+@hypothesis_settings(100)
 @given(seed=st.integers(0, 2**32), gap_s=st.floats(0, 0.1))
 def test_restarted_voters_do_not_depose_a_live_leader(seed, gap_s):
     """Guards against restarted voters that elect a leader before the live one reaches them."""
--- a/tests/test_state_follower.py
+++ b/tests/test_state_follower.py
@@ -7,7 +7,7 @@
 
 import attrs
 import pytest
-from consensus_cluster import bounded
+from consensus_cluster import hypothesis_settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -187,7 +187,7 @@
         return [vm.follower.is_current(vm.clock(self.time)) for vm in self.vms]
 
 
-@bounded(80)
+@hypothesis_settings(80)
 @given(seed=SEEDS, size=st.integers(2, 9))
 def test_ages_are_never_understated_and_revisions_never_go_down(seed, size):
     """Guards against a VM that calls an old configuration current, under any delays and faults."""
@@ -217,7 +217,7 @@
     assert all(vm.follower.config.image() == world.log.image() for vm in world.vms)
 
 
-@bounded(10)
+@hypothesis_settings(10)
 @given(seed=SEEDS)
 def test_a_vm_that_hears_the_leader_only_through_others_is_current(seed):
     """Guards against VMs that count as stale because they cannot reach the leader themselves."""
@@ -234,7 +234,7 @@
     assert [vm.in_force for vm in world.vms] == [1] * 8
 
 
-@bounded(10)
+@hypothesis_settings(10)
 @given(seed=SEEDS)
 def test_without_a_leader_vms_become_stale_and_start_on_what_they_have(seed):
     """Guards against a cut-off VM that does not serve, or serves without saying that it is old."""
--- a/tests/test_state_replicated.py
+++ b/tests/test_state_replicated.py
@@ -1,7 +1,7 @@
 """Tests of the replicated state machine against simple models."""
 
 import pytest
-from consensus_cluster import bounded
+from consensus_cluster import hypothesis_settings
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -151,7 +151,7 @@
         )
 
 
-Replicas.TestCase.settings = bounded(100, 30)
+Replicas.TestCase.settings = hypothesis_settings(100, 30)
 TestReplicas = Replicas.TestCase
 
 
--- a/tests/test_storage_log_store.py
+++ b/tests/test_storage_log_store.py
@@ -7,7 +7,7 @@
 
 import attrs
 import pytest
-from consensus_cluster import MemoryDisk, bounded
+from consensus_cluster import MemoryDisk, hypothesis_settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -106,7 +106,7 @@
     return (durable.hard_state, durable.snapshot, list(durable.entries))
 
 
-@bounded(150)
+@hypothesis_settings(150)
 @given(data=st.data())
 def test_a_power_loss_at_any_point_keeps_what_was_persisted(data):
     """Guards against a missing sync and against a crash between the files of a snapshot."""
