--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from consensus_cluster import Cluster, put
+from consensus_cluster import Cluster, put_service_command
 from hypothesis import HealthCheck, settings
 
 _CHECKS = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
@@ -26,7 +26,9 @@
     """Return a calm cluster with a leader and some commits."""
     cluster = Cluster(request.param, seed=7)
     cluster.run(3)
-    cluster.propose_all(cluster.leader(), [put(f"s{i}", 0, f"c{i}") for i in range(5)])
+    cluster.propose_all(
+        cluster.leader(), [put_service_command(f"s{i}", 0, f"c{i}") for i in range(5)]
+    )
     cluster.run(1)
     assert cluster.oracle.revision == 5
     return cluster
--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -354,7 +354,7 @@
         return raft.RaftNode.from_config(cfg, disk.load(), rng, self.now)
 
 
-def put(name: str, expected: int, change_id: str) -> pb.Command:
+def put_service_command(name: str, expected: int, change_id: str) -> pb.Command:
     change = pb.Change(
         change_id=change_id, expected_version=expected, put_service=pb.ServiceConfig(name=name)
     )
--- a/tests/test_consensus_membership.py
+++ b/tests/test_consensus_membership.py
@@ -1,7 +1,7 @@
 """Tests of membership changes of the Raft node: learners, promotions and removals."""
 
 import pytest
-from consensus_cluster import Cluster, hypothesis_settings, isolate, put
+from consensus_cluster import Cluster, hypothesis_settings, isolate, put_service_command
 from hypothesis import example, given
 from hypothesis import strategies as st
 
@@ -38,7 +38,7 @@
     assert isinstance(cluster.outcomes[second_change], errors.MembershipChangeInProgress)
     cluster.run(2)
     assert isinstance(cluster.outcomes[promotion], errors.LearnerNotCaughtUp)
-    proposal = cluster.propose(leader, put("late", 0, "late"))
+    proposal = cluster.propose(leader, put_service_command("late", 0, "late"))
     cluster.run(1)
     assert proposal in cluster.oracle.acknowledged
 
@@ -64,7 +64,9 @@
     cluster = Cluster(3, seed)
     cluster.run(3)
     first, second, *_ = [n for n in cluster.nodes.values() if n is not cluster.leader()]
-    cluster.propose_all(cluster.leader(), [put(f"s{i}", 0, f"c{i}") for i in range(20)])
+    cluster.propose_all(
+        cluster.leader(), [put_service_command(f"s{i}", 0, f"c{i}") for i in range(20)]
+    )
     cluster.run(0.5)
     cluster.compact(cluster.leader())
     cluster.lose_disk(first)
@@ -84,7 +86,9 @@
         else:
             raise AssertionError(change)
     late_proposal = (
-        cluster.propose(cluster.leader(), put("late", 0, "late")) if cluster.leader() else ""
+        cluster.propose(cluster.leader(), put_service_command("late", 0, "late"))
+        if cluster.leader()
+        else ""
     )
     cluster.run(wait_s)
     lost = cluster.leader() if cluster.leader() not in (None, replacement) else second
@@ -134,7 +138,7 @@
     for node in list(cluster.nodes.values()):
         if node not in (leader, learner):
             cluster.crash(node)
-    proposal = cluster.propose(leader, put("late", 0, "late"))
+    proposal = cluster.propose(leader, put_service_command("late", 0, "late"))
     cluster.run(5)
     assert proposal not in cluster.oracle.acknowledged
     assert cluster.leader() is None
@@ -209,7 +213,7 @@
     silent = next(node for node in cluster.nodes.values() if node is not cluster.leader())
     cluster.crash(silent)
     for turn in range(3):
-        commands = [put(f"t{turn}-{i}", 0, f"t{turn}-{i}") for i in range(300)]
+        commands = [put_service_command(f"t{turn}-{i}", 0, f"t{turn}-{i}") for i in range(300)]
         cluster.propose_all(cluster.leader(), commands)
         cluster.run(5)
         cluster.compact(cluster.leader())
@@ -230,7 +234,7 @@
     cluster.compact(leader)
     assert "new/1" in [m.node_id for m in leader.raft.membership.members]
     cluster.run(3)
-    cluster.propose(cluster.leader(), put("late", 0, "late"))
+    cluster.propose(cluster.leader(), put_service_command("late", 0, "late"))
     cluster.heal_and_run(2)
     assert leader.raft.membership == cluster.initial_membership
     assert leader.state.image() == cluster.leader().state.image()
@@ -251,7 +255,7 @@
     cluster.run(3)
     cluster.drops_message = lambda msg: False
     cluster.heal_and_run()
-    late_proposal = cluster.propose(cluster.leader(), put("late", 0, "late"))
+    late_proposal = cluster.propose(cluster.leader(), put_service_command("late", 0, "late"))
     cluster.run(1)
     assert late_proposal in cluster.oracle.acknowledged
     assert removed.node_id not in [m.node_id for m in cluster.oracle.membership.members]
--- a/tests/test_consensus_node.py
+++ b/tests/test_consensus_node.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from consensus_cluster import Cluster, hypothesis_settings, isolate, put
+from consensus_cluster import Cluster, hypothesis_settings, isolate, put_service_command
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
@@ -99,7 +99,9 @@
     def propose(self, data: st.DataObject, name: str, offset: int, count: int) -> None:
         if node := self.leader_or_any(data):
             expected = self.cluster.oracle.versions.get(name, 0) + offset
-            commands = [put(name, expected, f"c{len(self.sent) + i}") for i in range(count)]
+            commands = [
+                put_service_command(name, expected, f"c{len(self.sent) + i}") for i in range(count)
+            ]
             self.sent += commands
             self.cluster.propose_all(node, commands)
 
@@ -153,7 +155,10 @@
         cluster.heal_and_run()
         leader = cluster.leader()
         assert leader is not None
-        cluster.propose(leader, put("fonderia", cluster.oracle.versions.get("fonderia", 0), "end"))
+        cluster.propose(
+            leader,
+            put_service_command("fonderia", cluster.oracle.versions.get("fonderia", 0), "end"),
+        )
         cluster.run(4)
         assert "end" in cluster.oracle.first_results
         members = {m.node_id for m in cluster.oracle.membership.members}
@@ -197,7 +202,7 @@
         case _:
             chosen = rng.choice([leader, leader, node])
             if chosen.alive:
-                cluster.propose(chosen, put(f"s{count}", 0, f"c{count}"))
+                cluster.propose(chosen, put_service_command(f"s{count}", 0, f"c{count}"))
 
 
 @hypothesis_settings(60)
@@ -242,7 +247,7 @@
     if restart:
         cluster.restart(silent)
     cluster.partitioned_links = set()
-    proposal = cluster.propose(leader, put("archivio", 0, "c"))
+    proposal = cluster.propose(leader, put_service_command("archivio", 0, "c"))
     cluster.run(3)
     assert (cluster.leader(), leader.raft.term) == (leader, term)
     assert proposal in cluster.oracle.acknowledged
@@ -254,13 +259,13 @@
     leader = cluster.leader()
     isolate(cluster, leader.node_id)
     open_read = cluster.read(leader)
-    open_proposal = cluster.propose(leader, put("late", 0, "late"))
+    open_proposal = cluster.propose(leader, put_service_command("late", 0, "late"))
     cluster.run(1.3)
     assert leader.raft.role is not Role.LEADER
     assert leader.raft.confirmed_at is None
     assert isinstance(cluster.outcomes[open_read], errors.NoQuorum)
     assert not leader.waiting and open_proposal not in cluster.oracle.acknowledged
-    refused = cluster.propose(leader, put("later", 0, "later"))
+    refused = cluster.propose(leader, put_service_command("later", 0, "later"))
     assert isinstance(cluster.outcomes[refused], errors.NotLeader)
     cluster.run(1.7)
     assert cluster.leader() not in (None, leader)
@@ -270,7 +275,7 @@
     """Guards against a suspended process that still acts as leader before its first tick."""
     leader = cluster.leader()
     cluster.now += 5
-    refused = cluster.propose(leader, put("late", 0, "late"))
+    refused = cluster.propose(leader, put_service_command("late", 0, "late"))
     assert isinstance(cluster.outcomes[refused], errors.NoQuorum)
     assert isinstance(cluster.outcomes[cluster.read(leader)], errors.NotLeader)
 
@@ -289,9 +294,9 @@
 def test_leadership_transfer_does_not_wait_for_an_election_timeout(cluster):
     """Guards against a graceful stop after which no leader exists until a timeout."""
     leader = cluster.leader()
-    proposal = cluster.propose(leader, put("late", 0, "late"))
+    proposal = cluster.propose(leader, put_service_command("late", 0, "late"))
     cluster.execute(leader, leader.raft.transfer_leadership(cluster.now))
-    refused = cluster.propose(leader, put("later", 0, "later"))
+    refused = cluster.propose(leader, put_service_command("later", 0, "later"))
     assert isinstance(cluster.outcomes[refused], errors.NotLeader)
     cluster.run(0.3)
     assert cluster.leader() not in (None, leader)
@@ -370,7 +375,7 @@
     """Guards against long election timeouts after all voters lost power and restart together."""
     cluster = Cluster(size, seed)
     cluster.run(3)
-    proposal = cluster.propose(cluster.leader(), put("archivio", 0, "c"))
+    proposal = cluster.propose(cluster.leader(), put_service_command("archivio", 0, "c"))
     cluster.run(0.5)
     restart_all(cluster, spread_s=0.05)
     cluster.run(0.6)
