--- a/bramleycrank/consensus/types.py
+++ b/bramleycrank/consensus/types.py
@@ -49,7 +49,8 @@
     snapshot_retry_s : float
         Time in seconds after which a snapshot without a reply is sent again.
     restart_window_s : float
-        Time in seconds after a start in which a node without a leader uses ``restart_election_timeout_s``.
+        Time in seconds after a start in which a node that has received nothing from a leader uses
+        ``restart_election_timeout_s``.
     restart_election_timeout_s : tuple of float
         Shortest and longest election timeout in seconds during ``restart_window_s``.
     restart_all_pre_votes_s : float
--- a/tests/consensus_cluster.py
+++ b/tests/consensus_cluster.py
@@ -102,9 +102,9 @@
 
     def _expected_result(self, entry: pb.Entry) -> pb.CommandResult:
         """Compute the result from a model: versions by name and first results by change id."""
-        ok = pb.ResultCode.RESULT_CODE_OK
+        code = pb.ResultCode.RESULT_CODE_OK
         if entry.WhichOneof("body") != "command":
-            return pb.CommandResult(code=ok, revision=self.revision)
+            return pb.CommandResult(code=code, revision=self.revision)
         change = pb.Command.FromString(entry.command).change
         if change.change_id in self.first_results:
             return self.first_results[change.change_id]
@@ -114,8 +114,8 @@
             self.revision += 1
             version = self.versions[name] = self.revision
         else:
-            ok = pb.ResultCode.RESULT_CODE_VERSION_CONFLICT
-        result = pb.CommandResult(code=ok, revision=self.revision, version=version)
+            code = pb.ResultCode.RESULT_CODE_VERSION_CONFLICT
+        result = pb.CommandResult(code=code, revision=self.revision, version=version)
         self.first_results[change.change_id] = result
         return result
 
@@ -222,11 +222,11 @@
             ticks = [(node.raft.next_deadline(), node.node_id) for node in self.alive_nodes()]
             tick_at, node_id = min(ticks, default=(end, ""))
             message_at = self.network[0][0] if self.network else end
-            at = max(self.now, min(tick_at, message_at))
-            if at >= end:
+            next_event_at = max(self.now, min(tick_at, message_at))
+            if next_event_at >= end:
                 self.now = end
                 return
-            self.now = at
+            self.now = next_event_at
             if message_at <= tick_at:
                 self.deliver(heapq.heappop(self.network)[2])
             else:
@@ -234,7 +234,7 @@
                 self.execute(node, node.raft.tick(self.now))
 
     def heal_and_run(self, duration_s: float = 8.0) -> None:
-        """Remove all faults, restart crashed nodes and run until the cluster recovers."""
+        """Remove all faults, restart crashed nodes and run long enough to recover."""
         self.partitioned_links.clear()
         self.loss_probability = self.duplication_probability = 0.0
         self.max_delay_s = 0.02
