--- a/bramleycrank/consensus/node.py
+++ b/bramleycrank/consensus/node.py
@@ -227,7 +227,7 @@
 
     @property
     def commit_index(self) -> int:
-        """Index of the last entry known to be committed; an ``Apply`` for it has been returned."""
+        """Index of the last entry known to be committed; entries up to it are applied."""
         return self._core.commit_index
 
     @property
