--- a/bramleycrank/query/__init__.py
+++ b/bramleycrank/query/__init__.py
@@ -1,1 +1,1 @@
-"""Decision core of the query path; it does no I/O."""
+"""Decision logic of the query path, without I/O."""
--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -1,4 +1,4 @@
-"""Admission: class queues, the concurrency limit and refusals."""
+"""Admission control: class queues, concurrency limits and refusals."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 from bramleycrank.query.types import CLASSES, Admit, QueryConfig, Refuse, Ticket
 
 WEIGHTS = {"urgent": 8, "normal": 3, "bulk": 1}
-"""Places that each class gets in one round while all classes wait."""
+"""Requests of each class that are admitted in one round while all classes have queued requests."""
 
 RECHECK_S = 0.02
-"""Period in which queued requests are checked against their deadlines."""
+"""Interval at which queued requests are checked against their deadlines."""
 
 QUEUED_QUANTILE = 0.95
-"""Service time that a request must have left when it has to queue.
+"""Quantile of the service time that must fit before the deadline of a queued request.
 
-The median would admit requests so late that half of them would miss their deadline, and the work
-for them would be lost.
+With the median, half of the requests that are admitted last would miss their deadline, and the work
+for them would be wasted.
 """
 
 PROBE_S = 1.0
-"""Time without a run after which a service is not judged by its earlier times.
+"""Time without running requests after which the earlier latencies of a service are ignored.
 
-Only a run can show that the service has become fast again. While other services filled the VM, one
-whose times were above its deadlines was refused for as long as the load lasted.
+Only a running request can show that the service has become fast again. Without this rule, a service
+whose latencies were above its deadlines was refused for as long as other services filled the VM.
 """
 
-_WINDOW = 512  # samples after which older ones count half
+_WINDOW_SAMPLES = 512  # samples after which the earlier counts are halved
 
-_RETRY_MIN_MS, _RETRY_MAX_MS = 20, 10_000
+_RETRY_AFTER_MIN_MS, _RETRY_AFTER_MAX_MS = 20, 10_000
 
 _Action = Admit | Refuse
 
 
 class Admission:
-    """Decides when a request runs, or refuses it at once.
+    """Admits, queues or refuses requests.
 
     Parameters
     ----------
     limit : AdaptiveLimit
         Limit on requests in flight.
     queue_limit : int
-        Queued requests for each class.
+        Largest number of queued requests of each class.
     refuse_late : bool
         Whether requests that cannot meet their deadline are refused.
     """
@@ -63,90 +63,92 @@
         self._queues = {name: ClassQueue() for name in CLASSES}
         self._deficit = dict.fromkeys(CLASSES, 0)
         self._running: set[Ticket] = set()
-        self._by_service: Counter[str] = Counter()
-        self._service_time = LatencyEstimate(window=_WINDOW)
-        self._own_times: dict[str, LatencyEstimate] = {}
-        self._ran_at: dict[str, float] = {}
-        self._own_limits: dict[str, AdaptiveLimit] = {}
-        self._next_check: float | None = None
+        self._running_by_service: Counter[str] = Counter()
+        self._service_time = LatencyEstimate(window=_WINDOW_SAMPLES)
+        self._latency_by_service: dict[str, LatencyEstimate] = {}
+        self._last_ended_at: dict[str, float] = {}
+        self._limit_by_service: dict[str, AdaptiveLimit] = {}
+        self._next_check_at: float | None = None
         self._refusals: Counter[str] = Counter()
 
     @classmethod
     def from_config(cls, cfg: QueryConfig) -> Admission:
-        """Return the admission of a policy; the plain one has no limits."""
+        """Return the admission control of a policy; the plain policy has no limits."""
         if cfg.policy == "plain":
             return cls(AdaptiveLimit(2**31, 2**31, adaptive=False), 2**31, refuse_late=False)
         return cls(AdaptiveLimit(cfg.initial_concurrency, cfg.max_concurrency), cfg.queue_limit)
 
     @property
     def in_flight(self) -> int:
-        """Number of admitted requests that were not released."""
+        """Number of admitted requests that have not been released."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Number of waiting requests."""
+        """Number of queued requests."""
         return sum(len(queue) for queue in self._queues.values())
 
     def offer(self, ticket: Ticket, now: float) -> list[_Action]:
         """Admit, queue or refuse a request."""
         ticket.offered_at = now
         queue = self._queues[ticket.priority]
-        if self._refuse_late and self._median_passes_deadline(ticket, now):
-            return [self._refuse(ticket, self._too_late(self._needed(ticket, 0.5)))]
-        if not self._must_wait(ticket, queue):
+        if self._refuse_late and self._median_exceeds_deadline(ticket, now):
+            return [
+                self._refuse(ticket, self._deadline_error(self._latency_quantile_s(ticket, 0.5)))
+            ]
+        if not self._must_queue(ticket, queue):
             return [self._admit(ticket)]
         full = len(queue) >= self._queue_limit
         if full or 0 < ticket.queue_limit <= queue.count(ticket.service):
-            wait = self._wait(ticket, len(queue), queue.count(ticket.service))
+            wait = self._estimate_wait_s(ticket, len(queue), queue.count(ticket.service))
             return [self._refuse(ticket, _error(QueueFull, "", wait))]
-        wait = self._wait(ticket, len(queue) + 1, queue.count(ticket.service) + 1)
-        if self._refuse_late and not self._in_time(ticket, wait, now):
-            return [self._refuse(ticket, self._too_late(wait))]
+        wait = self._estimate_wait_s(ticket, len(queue) + 1, queue.count(ticket.service) + 1)
+        if self._refuse_late and not self._can_meet_deadline(ticket, wait, now):
+            return [self._refuse(ticket, self._deadline_error(wait))]
         ticket.state = "queued"
         queue.push(ticket)
-        if self._next_check is None:
-            self._next_check = now + RECHECK_S
+        if self._next_check_at is None:
+            self._next_check_at = now + RECHECK_S
         return []
 
-    def _median_passes_deadline(self, ticket: Ticket, now: float) -> bool:
-        """Tell whether the median of the service's own time passes the deadline.
+    def _median_exceeds_deadline(self, ticket: Ticket, now: float) -> bool:
+        """Return whether the median latency of the service exceeds the time to the deadline.
 
-        A service that runs nothing gets the request all the same: only a request that runs can
-        show that the service has become fast again.
+        Always False while no request of the service runs: only a running request can show that
+        the service has become fast again.
         """
-        if not self._by_service[ticket.service]:
+        if not self._running_by_service[ticket.service]:
             return False
-        return now + self._needed(ticket, 0.5) > ticket.deadline
+        return now + self._latency_quantile_s(ticket, 0.5) > ticket.deadline
 
-    def _needed(self, ticket: Ticket, share: float) -> float:
-        """Return a quantile in seconds of the service's own time."""
-        times = self._own_times.get(ticket.service)
+    def _latency_quantile_s(self, ticket: Ticket, share: float) -> float:
+        """Return a quantile of the latency of the ticket's service, in seconds."""
+        times = self._latency_by_service.get(ticket.service)
         return times.quantile(share) if times else 0.0
 
-    def _must_wait(self, ticket: Ticket, queue: ClassQueue) -> bool:
-        if not self._has_place() or not self._service_has_place(ticket):
+    def _must_queue(self, ticket: Ticket, queue: ClassQueue) -> bool:
+        if not self._has_capacity() or not self._service_has_capacity(ticket):
             return True
         return queue.count(ticket.service) > 0
 
-    def _has_place(self) -> bool:
+    def _has_capacity(self) -> bool:
         return len(self._running) < int(self.limit.value)
 
-    def _service_has_place(self, ticket: Ticket) -> bool:
-        most = self._most(ticket)
-        return not most or self._by_service[ticket.service] < most
+    def _service_has_capacity(self, ticket: Ticket) -> bool:
+        service_limit = self._service_limit(ticket)
+        return not service_limit or self._running_by_service[ticket.service] < service_limit
 
-    def _most(self, ticket: Ticket) -> int:
-        """Return how many requests of the service may run; 0 if only the VM's limit counts."""
-        most, own = ticket.max_concurrency, self._own_limits.get(ticket.service)
+    def _service_limit(self, ticket: Ticket) -> int:
+        """Return the concurrency limit of the service; 0 if only the VM's limit applies."""
+        service_limit, own = ticket.max_concurrency, self._limit_by_service.get(ticket.service)
         if own is None:
-            return most
-        return min(most, int(own.value)) if most else int(own.value)
+            return service_limit
+        return min(service_limit, int(own.value)) if service_limit else int(own.value)
 
     def _admit(self, ticket: Ticket) -> Admit:
         ticket.state = "running"
         self._running.add(ticket)
-        self._by_service[ticket.service] += 1
+        self._running_by_service[ticket.service] += 1
         return Admit(ticket)
 
     def _refuse(self, ticket: Ticket, error: BramleycrankError) -> Refuse:
@@ -154,87 +156,95 @@
         self._refusals[error.name] += 1
         return Refuse(ticket, error)
 
-    def _too_late(self, wait_s: float) -> BramleycrankError:
+    def _deadline_error(self, wait_s: float) -> BramleycrankError:
         return _error(DeadlineUnreachable, "", wait_s)
 
-    def _wait(self, ticket: Ticket, place: int, service_place: int) -> float:
-        """Return the estimated wait in seconds at a place of the class and of the service."""
+    def _estimate_wait_s(self, ticket: Ticket, position: int, service_position: int) -> float:
+        """Return the estimated wait in seconds at a position in the class and in the service."""
         median, priority = self._service_time.quantile(0.5), ticket.priority
         waiting = [name for name in CLASSES if self._queues[name] or name == priority]
         share = WEIGHTS[priority] / sum(WEIGHTS[name] for name in waiting)
-        turns = place / (max(1, int(self.limit.value)) * share)
-        if most := self._most(ticket):
-            turns = max(turns, service_place / most)
-        return turns * median
-
-    def _in_time(self, ticket: Ticket, wait_s: float, now: float) -> bool:
-        needed_s = 0.0 if self._is_unused(ticket, now) else self._needed(ticket, QUEUED_QUANTILE)
+        rounds = position / (max(1, int(self.limit.value)) * share)
+        if service_limit := self._service_limit(ticket):
+            rounds = max(rounds, service_position / service_limit)
+        return rounds * median
+
+    def _can_meet_deadline(self, ticket: Ticket, wait_s: float, now: float) -> bool:
+        needed_s = (
+            0.0 if self._is_idle(ticket, now) else self._latency_quantile_s(ticket, QUEUED_QUANTILE)
+        )
         return now + wait_s + needed_s <= ticket.deadline
 
-    def _is_unused(self, ticket: Ticket, now: float) -> bool:
-        if self._by_service[ticket.service]:
+    def _is_idle(self, ticket: Ticket, now: float) -> bool:
+        if self._running_by_service[ticket.service]:
             return False
-        return now - self._ran_at.get(ticket.service, now) > PROBE_S
+        return now - self._last_ended_at.get(ticket.service, now) > PROBE_S
 
     def release(
         self, ticket: Ticket, latency_s: float, overloaded: bool, now: float
     ) -> list[_Action]:
-        """Give back the place of an ended request and admit the next ones.
+        """Release the capacity of an ended request and admit queued ones.
 
-        A `latency_s` of 0 means that nothing was dispatched; such a request teaches nothing.
+        A `latency_s` of 0 means that nothing was dispatched; it does not enter the statistics.
         """
         if ticket not in self._running:
             return []
         if latency_s > 0.0:
-            self._learn(ticket.service, latency_s, overloaded, now)
+            self._adjust_limit(ticket.service, latency_s, overloaded, now)
             self._service_time.record(latency_s)
-            self._own_times.setdefault(ticket.service, LatencyEstimate(_WINDOW)).record(latency_s)
-            self._ran_at[ticket.service] = now
+            self._latency_by_service.setdefault(
+                ticket.service, LatencyEstimate(_WINDOW_SAMPLES)
+            ).record(latency_s)
+            self._last_ended_at[ticket.service] = now
         self._running.remove(ticket)
         ticket.state = "done"
-        self._by_service[ticket.service] -= 1
-        if not self._by_service[ticket.service]:
-            del self._by_service[ticket.service]
-        return self._serve(now)
+        self._running_by_service[ticket.service] -= 1
+        if not self._running_by_service[ticket.service]:
+            del self._running_by_service[ticket.service]
+        return self._admit_queued(now)
 
-    def _learn(self, service: str, latency_s: float, overloaded: bool, now: float) -> None:
-        """Adjust the limit of the VM, or of a service that alone is overloaded.
+    def _adjust_limit(self, service: str, latency_s: float, overloaded: bool, now: float) -> None:
+        """Adjust the limit of the VM, or that of the only overloaded service.
 
-        The targets of one service that stall say nothing about the others; without a limit of its
-        own, such a service lowered the limit for all.
+        Stalled targets of one service say nothing about the other services. Without a limit per
+        service, one overloaded service lowered the limit of all.
         """
-        own = self._own_limits.get(service)
+        own = self._limit_by_service.get(service)
         if own is not None:
-            own.on_end(latency_s, overloaded, self._by_service[service], now)
+            own.on_end(latency_s, overloaded, self._running_by_service[service], now)
             if own.value >= self.limit.value:
-                del self._own_limits[service]
+                del self._limit_by_service[service]
             return
         overloaded_service = self.limit.on_end(
             latency_s, overloaded, len(self._running), now, service
         )
         if overloaded_service is not None:
-            # Its requests last until their deadline, so more of them would fill the VM.
-            self._own_limits[overloaded_service] = AdaptiveLimit(MIN_LIMIT, int(self.limit.maximum))
+            # Its requests run until their deadline, so without a low limit they would fill the VM.
+            self._limit_by_service[overloaded_service] = AdaptiveLimit(
+                MIN_LIMIT, int(self.limit.maximum)
+            )
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Remove a queued request whose caller went away."""
+        """Remove a queued request whose caller disconnected."""
         if ticket.state == "queued":
             ticket.state = "withdrawn"
             self._queues[ticket.priority].remove(ticket)
 
-    def _serve(self, now: float) -> list[_Action]:
-        """Admit queued requests by weighted deficit while there are places."""
+    def _admit_queued(self, now: float) -> list[_Action]:
+        """Admit queued requests by deficit round-robin while the limit allows it."""
         out: list[_Action] = []
-        while self._has_place():
+        while self._has_capacity():
             ticket = self._next_ticket()
             if ticket is None:
                 break
-            if self._refuse_late and not self._in_time(ticket, 0.0, now):
-                out.append(self._refuse(ticket, self._too_late(self._wait(ticket, 1, 1))))
+            if self._refuse_late and not self._can_meet_deadline(ticket, 0.0, now):
+                out.append(
+                    self._refuse(ticket, self._deadline_error(self._estimate_wait_s(ticket, 1, 1)))
+                )
             else:
                 out.append(self._admit(ticket))
         if not self.queued:
-            self._next_check = None
+            self._next_check_at = None
         return out
 
     def _next_ticket(self) -> Ticket | None:
@@ -245,51 +255,55 @@
                 }
             for name, queue in self._queues.items():
                 if queue and self._deficit[name] > 0:
-                    ticket = queue.pop(self._service_has_place)
+                    ticket = queue.pop(self._service_has_capacity)
                     if ticket is not None:
                         self._deficit[name] -= 1
                         return ticket
         return None
 
     def tick(self, now: float) -> list[_Action]:
-        """Refuse queued requests that cannot be answered in time any more."""
-        out = self._serve(now)
+        """Refuse queued requests that can no longer meet their deadline."""
+        out = self._admit_queued(now)
         if self._refuse_late:
             for queue in self._queues.values():
-                out += self._refuse_late_ones(queue, now)
-        self._next_check = now + RECHECK_S if self.queued else None
+                out += self._refuse_late_queued(queue, now)
+        self._next_check_at = now + RECHECK_S if self.queued else None
         return out
 
-    def _refuse_late_ones(self, queue: ClassQueue, now: float) -> list[_Action]:
+    def _refuse_late_queued(self, queue: ClassQueue, now: float) -> list[_Action]:
         out: list[_Action] = []
-        places: Counter[str] = Counter()
+        positions: Counter[str] = Counter()
         for ticket in list(queue):
-            wait = self._wait(ticket, places.total() + 1, places[ticket.service] + 1)
-            if self._in_time(ticket, wait, now):
-                places[ticket.service] += 1
+            wait = self._estimate_wait_s(
+                ticket, positions.total() + 1, positions[ticket.service] + 1
+            )
+            if self._can_meet_deadline(ticket, wait, now):
+                positions[ticket.service] += 1
             else:
                 queue.remove(ticket)
-                out.append(self._refuse(ticket, self._too_late(wait)))
+                out.append(self._refuse(ticket, self._deadline_error(wait)))
         return out
 
     def next_deadline(self) -> float | None:
-        """Return the time of the next tick; None while nothing is queued."""
-        return self._next_check if self.queued else None
+        """Return when `tick` is due next; None while nothing is queued."""
+        return self._next_check_at if self.queued else None
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return limits and queues with their explanation."""
+        """Return the limits, the queues and the reasons for their state."""
         return {
             **self.limit.dump(),
             "in_flight": len(self._running),
-            "in_flight_by_service": dict(self._by_service),
-            "limit_by_service": {name: own.dump() for name, own in self._own_limits.items()},
+            "in_flight_by_service": dict(self._running_by_service),
+            "limit_by_service": {name: own.dump() for name, own in self._limit_by_service.items()},
             "queued": {name: len(queue) for name, queue in self._queues.items()},
             "refused": dict(self._refusals),
             "service_time": self._service_time.dump(),
-            "time_by_service": {name: times.dump() for name, times in self._own_times.items()},
+            "time_by_service": {
+                name: times.dump() for name, times in self._latency_by_service.items()
+            },
         }
 
 
 def _error(kind: type[BramleycrankError], message: str, wait_s: float) -> BramleycrankError:
-    retry_ms = min(_RETRY_MAX_MS, max(_RETRY_MIN_MS, int(wait_s * 1e3)))
-    return kind(message, outcome=Outcome.NOT_RUN, retry_after_ms=retry_ms)
+    wait_ms = min(_RETRY_AFTER_MAX_MS, max(_RETRY_AFTER_MIN_MS, int(wait_s * 1e3)))
+    return kind(message, outcome=Outcome.NOT_RUN, retry_after_ms=wait_ms)
--- a/bramleycrank/query/budgets.py
+++ b/bramleycrank/query/budgets.py
@@ -1,17 +1,17 @@
-"""Budgets that bound hedges and retries."""
+"""Token budgets for hedges and retries."""
 
 from __future__ import annotations
 
 from typing import Any
 
 SHED_CUTOFF = 0.20
-"""Share of shed replies at which the budgets reach zero."""
+"""Share of shed replies from which on the budgets are zero."""
 
-_SHED_WEIGHT = 0.01  # weight of one reply: the share follows about the last 100 replies
+_SHED_WEIGHT = 0.01  # weight of one reply in the average, which covers about 100 replies
 
 
 class ShedShare:
-    """Moving share of shed replies."""
+    """Exponential moving average of the share of shed replies."""
 
     def __init__(self) -> None:
         self.share = 0.0
@@ -22,19 +22,19 @@
 
     @property
     def scale(self) -> float:
-        """Factor for the budgets: 1 without shed replies, 0 from the cut-off on."""
+        """Factor for the budgets: 1 without shed replies, 0 at or above the cut-off share."""
         return max(0.0, 1.0 - self.share / SHED_CUTOFF)
 
 
 class TokenBudget:
-    """Extra sub-requests as a share of the first ones.
+    """Token bucket that bounds extra sub-requests to a share of the first ones.
 
     Parameters
     ----------
     ratio : float
         Tokens earned for each first sub-request while nothing is shed.
     burst : float
-        Most tokens that are kept, and the tokens at the start.
+        Capacity of the bucket; it starts full.
     """
 
     def __init__(self, ratio: float, burst: float) -> None:
@@ -45,12 +45,12 @@
         self.denied = 0
 
     def earn(self, scale: float) -> None:
-        """Count one first sub-request."""
+        """Add the tokens that one first sub-request earns."""
         tokens = self.tokens + self.ratio * scale
         self.tokens = tokens if tokens < self.burst else self.burst
 
     def take(self, scale: float) -> bool:
-        """Take one token; False if there is none or the budget has shrunk to zero."""
+        """Take one token; return False if there is none or `scale` is zero."""
         if scale <= 0.0 or self.tokens < 1.0:
             self.denied += 1
             return False
--- a/bramleycrank/query/holds.py
+++ b/bramleycrank/query/holds.py
@@ -1,4 +1,4 @@
-"""How long targets want no requests of this VM, as their refusals said."""
+"""Holds: times until which targets get no requests from this VM."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 log = logging.getLogger(__name__)
 
 MAX_HOLD_S = 3600.0
-"""Longest hold that is kept, in seconds; a wrong figure would lose a shard for good otherwise."""
+"""Longest hold in seconds; without it a wrong value could make a shard unavailable for good."""
 
 RETURN_SPREAD = 0.1
-"""Part of a hold by which it is prolonged at most, so that not all VMs return in one moment."""
+"""Largest share by which a hold is extended, so that VMs do not all resume at the same time."""
 
 
 class Holds:
     """Holds of targets by incarnation.
 
-    They are kept apart from what else is known of a target, since a target that is forgotten and
-    found again in the same incarnation still wants nothing.
+    Holds are stored apart from the other state of a target, since they stay in force when a target
+    is removed and added again in the same incarnation.
 
     Parameters
     ----------
@@ -32,30 +32,36 @@
         self._until: dict[str, tuple[int, float]] = {}
 
     def add(self, target_id: str, incarnation: int, hold_s: float, now: float) -> float:
-        """Take what a refusal said; return the time until which the target is held back.
+        """Add a hold and return the time until which the target is held back.
 
-        Of several holds the latest end counts. What is no duration changes nothing.
+        Of several holds, the one that ends last is in force. A value that is not a valid duration
+        is ignored.
 
         Parameters
         ----------
         target_id : str
             The target.
         incarnation : int
-            Its incarnation; a later one is not held back.
+            The incarnation of the target; a later incarnation is not held back.
         hold_s : float
-            What the target said, in seconds.
+            Duration that the target requested, in seconds.
         now : float
             Current time in seconds.
         """
-        known = self.until(target_id, incarnation)
+        current_until = self.until(target_id, incarnation)
         if not math.isfinite(hold_s) or hold_s < 0:
-            log.warning("query: a hold is no duration", extra={"target": target_id})
-            return known
+            log.warning(
+                "query: ignored a hold that is not a valid duration", extra={"target": target_id}
+            )
+            return current_until
         if hold_s > MAX_HOLD_S:
-            log.warning("query: a hold is too long", extra={"target": target_id, "hold_s": hold_s})
-        wait_s = min(hold_s, MAX_HOLD_S) * (1 + RETURN_SPREAD * self._random())
+            log.warning(
+                "query: shortened a hold that is too long",
+                extra={"target": target_id, "hold_s": hold_s},
+            )
+        duration_s = min(hold_s, MAX_HOLD_S) * (1 + RETURN_SPREAD * self._random())
         self._until = {name: held for name, held in self._until.items() if held[1] > now}
-        self._until[target_id] = (incarnation, max(known, now + wait_s))
+        self._until[target_id] = (incarnation, max(current_until, now + duration_s))
         return self._until[target_id][1]
 
     def until(self, target_id: str, incarnation: int) -> float:
--- a/bramleycrank/query/latency.py
+++ b/bramleycrank/query/latency.py
@@ -1,4 +1,4 @@
-"""Quantile estimate of latencies in logarithmic buckets with decay."""
+"""Latency quantiles from a logarithmic histogram with decay."""
 
 from __future__ import annotations
 
@@ -7,67 +7,72 @@
 from typing import Any
 
 _MIN_S = 1e-5
-_GROWTH = 1.05
-_SCALE = 1.0 / math.log(_GROWTH)
-_BUCKETS = 340  # 10 µs to about 160 s
-_REFRESH = 64  # a quantile is computed anew after this many samples
+_BUCKET_FACTOR = 1.05
+_BUCKETS_PER_LOG_UNIT = 1.0 / math.log(_BUCKET_FACTOR)
+_BUCKET_COUNT = 340  # 10 µs to about 160 s
+_REFRESH_SAMPLES = 64  # samples after which cached quantiles are recomputed
 
 
 class LatencyEstimate:
     """Distribution of recent latencies.
 
-    Each bucket is 5% wide, which bounds the error of a quantile. `hdrhistogram` was measured at
-    0.8 µs a sample and 45 µs a quantile against 0.4 µs and 4 µs here, and it cannot decay.
+    Each bucket is 5% wide, which bounds the error of a quantile. `hdrhistogram` takes 0.8 µs per
+    sample and 45 µs per quantile, against 0.4 µs and 4 µs here, and does not support decay.
 
     Parameters
     ----------
     window : int
-        After this many samples all counts are halved.
+        Number of samples after which all counts are halved.
     """
 
     def __init__(self, window: int = 2048) -> None:
         self._window = window
-        self._counts = [0.0] * _BUCKETS
-        self._fresh = 0
-        self._cached: dict[float, float] = {}
+        self._counts = [0.0] * _BUCKET_COUNT
+        self._samples_since_decay = 0
+        self._quantile_cache: dict[float, float] = {}
         self.samples = 0
 
     def record(self, latency_s: float) -> None:
         """Add one sample in seconds."""
-        index = int(math.log(latency_s / _MIN_S) * _SCALE) if latency_s > _MIN_S else 0
-        self._counts[index if index < _BUCKETS else _BUCKETS - 1] += 1.0
+        index = (
+            int(math.log(latency_s / _MIN_S) * _BUCKETS_PER_LOG_UNIT) if latency_s > _MIN_S else 0
+        )
+        self._counts[index if index < _BUCKET_COUNT else _BUCKET_COUNT - 1] += 1.0
         self.samples += 1
-        self._fresh += 1
-        if self._fresh % _REFRESH == 0 or self.samples < _REFRESH:
-            self._cached.clear()
-        if self._fresh >= self._window:
+        self._samples_since_decay += 1
+        if self._samples_since_decay % _REFRESH_SAMPLES == 0 or self.samples < _REFRESH_SAMPLES:
+            self._quantile_cache.clear()
+        if self._samples_since_decay >= self._window:
             self._counts = [count * 0.5 for count in self._counts]
-            self._fresh = 0
+            self._samples_since_decay = 0
 
     def quantile(self, share: float) -> float:
-        """Return the latency in seconds below which `share` of the samples lie; 0 without any."""
-        cached = self._cached.get(share)
+        """Return the quantile `share` of the latencies in seconds; 0 if there are no samples."""
+        cached = self._quantile_cache.get(share)
         if cached is None:
-            cached = self._cached[share] = self._compute(share)
+            cached = self._quantile_cache[share] = self._compute(share)
         return cached
 
     def _compute(self, share: float) -> float:
         total = sum(self._counts)
         if not total:
             return 0.0
-        wanted = share * total
-        for index, reached in enumerate(accumulate(self._counts)):
-            if reached >= wanted and self._counts[index]:
-                part = 1.0 - (reached - wanted) / self._counts[index]
-                return _MIN_S * _GROWTH ** (index + part)
-        return _MIN_S * _GROWTH**_BUCKETS
+        target_count = share * total
+        for index, cumulative in enumerate(accumulate(self._counts)):
+            if cumulative >= target_count and self._counts[index]:
+                fraction = 1.0 - (cumulative - target_count) / self._counts[index]
+                return _MIN_S * _BUCKET_FACTOR ** (index + fraction)
+        return _MIN_S * _BUCKET_FACTOR**_BUCKET_COUNT
 
     def dump(self) -> dict[str, Any]:
-        """Return samples and quantiles in milliseconds."""
+        """Return the number of samples and the quantiles in milliseconds."""
         return {
             "samples": self.samples,
-            **{f"p{share * 100:g}_ms": round(self.quantile(share) * 1e3, 3) for share in _SHOWN},
+            **{
+                f"p{share * 100:g}_ms": round(self.quantile(share) * 1e3, 3)
+                for share in _DUMPED_QUANTILES
+            },
         }
 
 
-_SHOWN = (0.5, 0.96, 0.99)
+_DUMPED_QUANTILES = (0.5, 0.96, 0.99)
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -1,4 +1,4 @@
-"""The two policies for replica choice, hedging and retries."""
+"""Adaptive and plain policies for replica choice, hedging and retries."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from bramleycrank.query.types import QueryConfig, QueryPolicy, Snapshot
 
 MIN_SAMPLES = 50
-"""Latencies that must be known before the hedge delay follows them."""
+"""Number of latency samples from which on the hedge delay is derived from them."""
 
 UNKNOWN_HEDGE_DELAY_S = 0.25
-"""Hedge delay while too few latencies are known.
+"""Hedge delay while there are fewer than `MIN_SAMPLES` latency samples.
 
-Without any hedge, a frozen replica turned the first answers after a start into partial ones.
+Without hedging in that time, a frozen replica made the first answers after a restart partial.
 """
 
 HEDGE_BURST, RETRY_BURST = 30.0, 50.0
-"""Tokens at the start and most tokens kept.
+"""Capacity of the token buckets, which start full.
 
-A target that dies takes all its open sub-requests along; the burst covers those of some queries.
+If a target crashes, all sub-requests in flight to it fail; the burst covers a few such queries.
 """
 
 
 @attrs.define(eq=False)
 class ServiceStats:
-    """Latency, shed replies and budgets of one service."""
+    """Latencies, shed share and budgets of one service."""
 
     hedges: TokenBudget
     retries: TokenBudget
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_config(cls, cfg: QueryConfig) -> ServiceStats:
-        """Return the state of a service that has not been used yet."""
+        """Return the initial state of a service."""
         return cls(
             hedges=TokenBudget(cfg.hedge_budget, HEDGE_BURST),
             retries=TokenBudget(cfg.retry_budget, RETRY_BURST),
@@ -48,7 +48,7 @@
 
 
 class AdaptivePolicy:
-    """Chooses by observed load and latency; hedges and retries within budgets."""
+    """Chooses replicas by observed load and latency; hedges and retries within budgets."""
 
     def __init__(self, cfg: QueryConfig, table: ReplicaTable) -> None:
         self._cfg = cfg
@@ -64,30 +64,30 @@
         return stats
 
     def hedge_delay(self, service: str) -> float:
-        """Return the time in seconds after which to hedge."""
+        """Return the time in seconds after which a sub-request is hedged."""
         stats = self.stats(service)
         if stats.latency.samples < MIN_SAMPLES:
             return UNKNOWN_HEDGE_DELAY_S
-        return stats.latency.quantile(self._quantile(stats.hedges))
+        return stats.latency.quantile(self._hedge_quantile(stats.hedges))
 
-    def _quantile(self, hedges: TokenBudget) -> float:
-        """Return the quantile to hedge at; later when the budget runs low.
+    def _hedge_quantile(self, hedges: TokenBudget) -> float:
+        """Return the latency quantile at which to hedge; it is higher when the budget runs low.
 
-        At the quantile itself demand and budget are equal, so ordinary slow replies would use up
-        the tokens that the stragglers need.
+        At the configured quantile, the demand for hedges equals the budget, so ordinary slow
+        replies would use up the tokens needed for stragglers.
         """
-        base, filled = self._cfg.hedge_quantile, hedges.tokens / hedges.burst
-        if filled >= 0.5:
+        base, fill_share = self._cfg.hedge_quantile, hedges.tokens / hedges.burst
+        if fill_share >= 0.5:
             return base
-        return base + (1.0 - base) * (0.25 if filled >= 0.2 else 0.5)
+        return base + (1.0 - base) * (0.25 if fill_share >= 0.2 else 0.5)
 
     def take_hedge(self, service: str) -> bool:
-        """Take one hedge from the budget; False if it is used up."""
+        """Take one hedge token from the budget; return False if there is none."""
         stats = self.stats(service)
         return stats.hedges.take(stats.shed.scale)
 
     def take_retry(self, service: str) -> bool:
-        """Take one retry from the budget; False if it is used up."""
+        """Take one retry token from the budget; return False if there is none."""
         stats = self.stats(service)
         return stats.retries.take(stats.shed.scale)
 
@@ -122,10 +122,10 @@
     def on_cancelled(
         self, service: str, target_id: str, elapsed_s: float, first: bool, now: float
     ) -> None:
-        """Count a cancelled sub-request; one that was overtaken counts as slow.
+        """Count a cancelled sub-request; a superseded one counts as slow.
 
-        Its elapsed time enters the latencies as a lower bound. Without it the estimate would lose
-        its tail to the hedges and the hedge delay would shrink with every hedge.
+        Its elapsed time is recorded as a lower bound of its latency. Without it, hedges would cut
+        off the tail of the estimate, and the hedge delay would shrink with every hedge.
         """
         if elapsed_s <= 0.0:
             self._table.on_cancelled(target_id, now)
@@ -141,11 +141,11 @@
     def on_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
-        """Record that the target does not hold the shard, or is leaving if `snapshot` is None."""
+        """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
         self._table.on_gone(service, target_id, snapshot, shard, now)
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return budgets and latencies of every service."""
+        """Return the budgets and latencies of every service."""
         return {name: _dump_stats(stats, self._cfg) for name, stats in self._services.items()}
 
 
@@ -157,8 +157,8 @@
         why = f"budgets are at {scale:.0%} because {stats.shed.share:.1%} of the replies are shed"
     else:
         why = "budgets are full: no replies are shed"
-    known = stats.latency.samples >= MIN_SAMPLES
-    delay = stats.latency.quantile(cfg.hedge_quantile) if known else UNKNOWN_HEDGE_DELAY_S
+    has_samples = stats.latency.samples >= MIN_SAMPLES
+    delay = stats.latency.quantile(cfg.hedge_quantile) if has_samples else UNKNOWN_HEDGE_DELAY_S
     return {
         "why": why,
         "shed_share": round(stats.shed.share, 4),
@@ -170,7 +170,7 @@
 
 
 class PlainPolicy:
-    """Measurement baseline: random replica, no hedging, no limits, plain retries."""
+    """Baseline for measurements: random replica, no hedging, no limits, unbudgeted retries."""
 
     def __init__(self, table: ReplicaTable, rng: random.Random) -> None:
         self._table = table
@@ -179,10 +179,10 @@
     def choose(
         self, service: str, snapshot: Snapshot, shard: int, exclude: Collection[str], now: float
     ) -> str | None:
-        """Return a random replica that is not excluded."""
+        """Return a random replica that is not excluded; None if there is none."""
         replicas = self._table.replicas(service, snapshot, shard)
-        left = [t.target_id for t in replicas if t.target_id not in exclude]
-        return self._rng.choice(left) if left else None
+        usable = [t.target_id for t in replicas if t.target_id not in exclude]
+        return self._rng.choice(usable) if usable else None
 
     def hedge_delay(self, service: str) -> float | None:
         """Return None: there are no hedges."""
@@ -193,7 +193,7 @@
         return False
 
     def take_retry(self, service: str) -> bool:
-        """Return True: only the retries of one shard are limited."""
+        """Return True: only the number of retries per shard is limited."""
         return True
 
     def on_sent(self, service: str, target_id: str, first: bool, now: float) -> None:
@@ -223,14 +223,14 @@
     def on_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
-        """Record that the target does not hold the shard, or is leaving if `snapshot` is None."""
+        """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
         self._table.on_gone(service, target_id, snapshot, shard, now)
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return the reason why there is nothing to show."""
+        """Return the reason why there is no state."""
         return {"why": "plain policy: no budgets, no hedges, no limits"}
 
 
 def make_policy(cfg: QueryConfig, table: ReplicaTable, rng: random.Random) -> QueryPolicy:
-    """Return the policy that the settings name."""
+    """Return the policy that the configuration selects."""
     return PlainPolicy(table, rng) if cfg.policy == "plain" else AdaptivePolicy(cfg, table)
--- a/bramleycrank/query/queues.py
+++ b/bramleycrank/query/queues.py
@@ -1,4 +1,4 @@
-"""Queue of one priority class, fair among services."""
+"""Queue of one priority class, with round-robin scheduling among services."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClassQueue:
-    """First in, first out for each service; services take turns."""
+    """Queue that is FIFO within a service and round-robin among services."""
 
     def __init__(self) -> None:
         self._services: OrderedDict[str, deque[Ticket]] = OrderedDict()
@@ -19,16 +19,16 @@
         return self._count
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Yield the tickets roughly in the order of service: by rank in their service."""
+        """Yield the tickets round-robin over the services, roughly in the order of admission."""
         queues = [iter(queue) for queue in self._services.values()]
         while queues:
-            left = []
+            non_empty = []
             for queue in queues:
                 ticket = next(queue, None)
                 if ticket is not None:
-                    left.append(queue)
+                    non_empty.append(queue)
                     yield ticket
-            queues = left
+            queues = non_empty
 
     def count(self, service: str) -> int:
         """Return the number of tickets of a service."""
@@ -40,7 +40,7 @@
         self._count += 1
 
     def pop(self, may_run: Callable[[Ticket], bool]) -> Ticket | None:
-        """Remove and return the next ticket whose service may run one more."""
+        """Remove and return the next ticket that `may_run` accepts; None if there is none."""
         for service, queue in self._services.items():
             if may_run(queue[0]):
                 ticket = queue.popleft()
--- a/bramleycrank/query/result.py
+++ b/bramleycrank/query/result.py
@@ -1,4 +1,4 @@
-"""The answer or the error that a query ends with."""
+"""Construction of the answer or error of a query."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 RETRY_MS = 1000
-"""Retry time where no target named one; targets renew their announcements every 2 s."""
+"""Retry-after where no target gave one; targets send a renewal every 2 s."""
 
 
 def build_answer(
@@ -36,7 +36,10 @@
     shards: Sequence[ShardState],
     counts: tuple[int, int, int, int],
 ) -> Answer:
-    """Return the merged answer; `counts` are first sub-requests, hedges, retries, restarts."""
+    """Return the merged answer.
+
+    The `counts` are the numbers of first sub-requests, hedges, retries and restarts.
+    """
     replies = [shard.reply for shard in shards if shard.reply is not None]
     missing = tuple(
         MissingShard(shard.index, shard.reason or MissingReason.FAILED)
@@ -59,21 +62,23 @@
 
 
 def build_error(
-    shards: Sequence[ShardState], late: bool, outcome: Outcome, retry_after_ms: int
+    shards: Sequence[ShardState], deadline_passed: bool, outcome: Outcome, retry_after_ms: int
 ) -> BramleycrankError:
-    """Return the error of a query whose replies are not enough for an answer."""
+    """Return the error of a query that lacks the replies for an answer."""
     reasons = Counter(shard.reason for shard in shards if shard.reply is None and shard.reason)
     if outcome is Outcome.NOT_RUN:
         retry_after_ms = retry_after_ms or RETRY_MS
-    if late:
+    if deadline_passed:
         return DeadlineExceeded(outcome=outcome, retry_after_ms=retry_after_ms)
-    text = ", ".join(f"{count} {reason}" for reason, count in sorted(reasons.items()))
+    reason_counts = ", ".join(f"{count} {reason}" for reason, count in sorted(reasons.items()))
     if len(shards) == reasons.total() and MissingReason.SHED not in reasons:
-        # Targets that cannot be reached count as absent.
+        # Unreachable targets count as missing.
         if outcome is Outcome.NOT_RUN:
             return NoTargets(outcome=outcome, retry_after_ms=retry_after_ms)
         if set(reasons) != {MissingReason.NO_REPLICA}:
-            return TargetFailed(f"No shard answered: {text}.", outcome=outcome)
+            return TargetFailed(f"No shard answered: {reason_counts}.", outcome=outcome)
     return IncompleteCoverage(
-        f"Shards without an answer: {text}.", outcome=outcome, retry_after_ms=retry_after_ms
+        f"Shards without an answer: {reason_counts}.",
+        outcome=outcome,
+        retry_after_ms=retry_after_ms,
     )
--- a/bramleycrank/query/subrequests.py
+++ b/bramleycrank/query/subrequests.py
@@ -1,4 +1,4 @@
-"""Sub-requests of one query: their messages and their state."""
+"""Messages and state of the sub-requests of one query."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class Sub:
-    """A sub-request that was sent and has not ended."""
+    """A sub-request in flight."""
 
     sub_id: int
     shard: ShardState
@@ -31,7 +31,7 @@
     index: int
     open: list[Sub] = attrs.field(factory=list)
     tried: list[str] = attrs.field(factory=list)
-    lost: list[str] = attrs.field(factory=list)  # tried ones whose connection was lost
+    lost: list[str] = attrs.field(factory=list)  # tried targets whose connection was lost
     reply: SubReply | None = None
     reason: MissingReason | None = None
     ended: bool = False
@@ -42,15 +42,15 @@
 def choose_retry(shard: ShardState, choose: Callable[[Sequence[str]], str | None]) -> str | None:
     """Return the target for a retry.
 
-    A target whose connection was lost may be well and is asked again, but after the others: a cut
-    loses the connections to all targets behind it at once.
+    A target whose connection was lost may be healthy and is tried again, but only after all others.
+    A network partition breaks the connections to all targets on its other side at once.
 
     Parameters
     ----------
     shard : ShardState
         The shard whose sub-request failed.
     choose : callable
-        Returns a target that is not among the given ones.
+        Returns a target that is not among the given ones; None if there is none.
     """
     target_id = choose(shard.tried)
     if target_id is None and shard.lost:
@@ -64,14 +64,14 @@
 
 
 def shards_for(req: QueryRequest, snapshot: Snapshot) -> list[int]:
-    """Return the shards that a request needs."""
+    """Return the indices of the shards that a request needs."""
     if req.kind in SCATTER_KINDS:
         return list(range(snapshot.shard_count))
     return [shard_of(req.key, snapshot.shard_count)]
 
 
 def template(req: QueryRequest, snapshot: Snapshot) -> SubRequest:
-    """Return the fields that all sub-requests of a query on one snapshot share."""
+    """Return a sub-request with the fields that are common to a query on one snapshot."""
     return SubRequest(
         service=req.service,
         kind=req.kind,
@@ -87,7 +87,7 @@
 def dump_progress(
     req: QueryRequest, snapshot: Snapshot, shards: Iterable[ShardState]
 ) -> dict[str, Any]:
-    """Return what a query runs on and which shards it waits for."""
+    """Return the snapshot of a query and the shards whose replies are pending."""
     return {
         "service": req.service,
         "kind": req.kind,
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -1,4 +1,4 @@
-"""What the VM has observed of one target."""
+"""State that this VM has observed of one target."""
 
 from __future__ import annotations
 
@@ -13,63 +13,63 @@
 """Consecutive failures after which a target is ejected."""
 
 EJECT_BASE_S, EJECT_MAX_S = 1.0, 60.0
-"""First and longest time of an ejection; each further ejection doubles it."""
+"""First and longest duration of an ejection; each further ejection doubles it."""
 
 CALM_S = 30.0
-"""Time without an ejection after which the back-off starts anew."""
+"""Time without an ejection after which the back-off is reset."""
 
 WARMUP_FLOOR = 0.05
-"""Smallest share of a cold target; without it no observation would ever arrive."""
+"""Smallest load share of a warming target, which keeps observations coming in."""
 
 REPROBE_S, REPROBE_MAX_S = 1.0, 8.0
-"""First and longest time without a sub-request after which a target is tried again whatever its
-score was; the time doubles while it stays slow.
+"""First and longest time without a sub-request after which a target is tried again regardless of
+its score; the time doubles while the target stays slow.
 
-Load pattern: a fifth of the targets are slow for seconds. A trial of one of them holds up the whole
-request, and requests to dozens of shards would meet several trials each.
+If a fifth of the targets are slow for seconds, a trial of one of them delays the whole request, and
+a request to dozens of shards would include several trials.
 """
 
 SLOW = 2.0
-"""Latency, as a multiple of the usual one of the target, from which it stays slow."""
+"""Ratio of the latency to the baseline latency of a target above which the target is slow."""
 
 REPROBE_PASSES = 4
-"""Choices that must have passed the target over besides; a VM with few requests asks others first.
+"""Number of choices that must also have preferred other targets before a target is tried again.
 
-Without it a VM that asks a shard once a second would find every observation too old.
+Without it, every observation would be outdated on a VM that queries a shard once a second.
 """
 
 FAILED_COST = 8.0
-"""Cost of a certain failure, in times of a good answer: it takes an attempt and budget as well."""
+"""Cost of a certain failure, as a multiple of the latency; it also uses an attempt and budget."""
 
 REPEATED_COST = 4.0
-"""Time lost by a certain failure, in times of a good answer: the failed one, and another target's
-answer, which may have to open a connection first."""
+"""Time lost by a certain failure, as a multiple of the latency: the failed sub-request and a retry
+at another target, which may have to open a connection first."""
 
 SHED_COST = 4.0
-"""What a certain refusal for load costs beyond that: a busy target should not be asked again."""
+"""Additional cost if a failure is a shed sub-request, since a busy target should get less load."""
 
 UNKNOWN_LATENCY_S = 1e-4
-"""Latency of a target that has not been asked yet; a low one, so that it is asked."""
+"""Assumed latency of a target without observations; low, so that the target is chosen."""
 
 MEMORY_S = 2.0
-"""Time over which what is observed follows a change, however few replies come."""
+"""Time constant with which observations follow a change, even if there are few replies."""
 
 LATENCY_RISE = 3.0
-"""Most that one reply counts for beyond the least weight, in times of the observed latency.
+"""Ratio of a latency sample to the observed latency at which the sample is capped.
 
-A single pause says little, also where replies are so few that each has a great weight.
+This bounds the effect of a single pause, also where replies are rare and each has a large weight.
 """
 
 FAILED_WEIGHT_MAX = 0.3
-"""Most that one end counts for in the share of failed ones, however few there are."""
+"""Largest weight of one sub-request in the failed share, even if sub-requests are rare."""
 
-_LATENCY_WEIGHT = 0.1  # least weight of one reply in the observed latency
-_FAILED_WEIGHT = 0.1  # weight of one end in the share of failed ones
+_MIN_LATENCY_WEIGHT = 0.1  # smallest weight of one reply in the observed latency
+_MIN_FAILED_WEIGHT = 0.1  # smallest weight of one sub-request in the failed share
 _SHED_FACTOR = 0.7
 _QUEUED_FACTOR = 0.85
-_USED = 0.8  # part of the limit that must be in use before it grows
-_GOOD = 1.5  # latency, as a multiple of the usual one, up to which the limit grows
-_BASE_RISE, _BASE_FALL = 0.005, 0.05  # weights of a reply in the usual latency
+_MIN_USED_SHARE = 0.8  # share of the limit that must be in use before it grows
+_GROWTH_LATENCY_FACTOR = 1.5  # ratio of the latency to the baseline up to which the limit grows
+_BASE_RISE_WEIGHT, _BASE_FALL_WEIGHT = 0.005, 0.05  # weights of a reply in the baseline latency
 
 
 @attrs.define(eq=False)
@@ -80,8 +80,8 @@
     ----------
     limit : float
         Concurrency limit of this VM for the target.
-    warm_from : float
-        Start of the warm-up.
+    warm_from, warm_until : float
+        Start and end of the warm-up, in seconds.
     """
 
     target_id: str
@@ -94,34 +94,34 @@
     warm_until: float
     in_flight: int = 0
     sent_at: float = -1e9
-    busy_since: float = 0.0  # when it last answered, or got its first sub-request in flight
-    passed_over: int = 0  # choices since then that preferred another target
+    busy_since: float = 0.0  # last end of a sub-request, or first one in flight
+    passed_over: int = 0  # choices since `sent_at` that preferred another target
     reprobe_s: float = REPROBE_S
-    slow_at: float = -1e9  # when that time was last doubled
+    slow_at: float = -1e9  # when `reprobe_s` was last doubled
     replied_at: float = 0.0
     ended_at: float = 0.0
     latency_s: float = 0.0
-    base_s: float = 0.0
-    failures: int = 0
-    failed_share: float = 0.0  # of the recent sub-requests, refused ones included
-    shed_share: float = 0.0  # of the recent sub-requests, refused ones only
+    base_latency_s: float = 0.0
+    consecutive_failures: int = 0
+    failed_share: float = 0.0  # of the recent sub-requests, including shed ones
+    shed_share: float = 0.0  # of the recent sub-requests
     ejections: int = 0
     ejected_at: float = 0.0
     ejected_until: float = 0.0
-    limit_cut_at: float = -1e9
+    limit_lowered_at: float = -1e9
     down: bool = False
-    held_until: float = 0.0  # the target wants no requests before
+    held_until: float = 0.0  # end of the hold
     leaving: bool = False
     reported: float = 0.0
     replies: int = 0
-    sheds: int = 0
-    losses: int = 0
+    shed_count: int = 0
+    failure_count: int = 0
 
     @classmethod
     def from_record(
         cls, record: TargetRecord, local: bool, limit: float, warm_from: float, warm_until: float
     ) -> TargetState:
-        """Return the state of a target that the VM has not used yet."""
+        """Return the initial state of a target."""
         return cls(
             target_id=record.target_id,
             domain=record.domain,
@@ -134,29 +134,35 @@
         )
 
     def warm_share(self, now: float) -> float:
-        """Return the share of a full one that the target gets while it warms up."""
+        """Return the load share of the target: 1 after the warm-up, less during it."""
         if now >= self.warm_until:
             return 1.0
         return max(WARMUP_FLOOR, (now - self.warm_from) / (self.warm_until - self.warm_from))
 
     def cost(self) -> float:
-        """Return the expected time of one more sub-request as observed, however long ago."""
-        usual = (self.in_flight + 1) * (self.latency_s or UNKNOWN_LATENCY_S) * (1 + self.failures)
-        return usual * (1 + FAILED_COST * self.failed_share)
+        """Return the expected cost of one more sub-request, regardless of the observations' age."""
+        load_s = (
+            (self.in_flight + 1)
+            * (self.latency_s or UNKNOWN_LATENCY_S)
+            * (1 + self.consecutive_failures)
+        )
+        return load_s * (1 + FAILED_COST * self.failed_share)
 
     def expected_s(self, now: float) -> float:
-        """Return the time in seconds that one more sub-request should take.
+        """Return the expected time in seconds of one more sub-request.
 
-        Sub-requests run side by side in the slots, so a few in flight do not delay another one. A
-        target that has been silent for longer than it usually takes pauses or is stuck, and is
-        expected to stay so for as long again.
+        Sub-requests run concurrently in the slots, so a few in flight do not delay another one. A
+        target that is silent for longer than its usual latency is paused or stuck, and is expected
+        to remain so for the same time again.
         """
         usual_s = self.latency_s or UNKNOWN_LATENCY_S
-        rounds = max(1.0, (self.in_flight + 1) / self.slots)
+        queue_rounds = max(1.0, (self.in_flight + 1) / self.slots)
         silent_s = now - self.busy_since if self.in_flight else 0.0
-        wait_s = usual_s * rounds + max(0.0, silent_s - usual_s)
-        failing = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
-        return wait_s * (1 + REPEATED_COST * failing + SHED_COST * self.shed_share)
+        wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
+        failure_share = max(
+            self.failed_share, min(1.0, self.consecutive_failures / FAILURES_TO_EJECT)
+        )
+        return wait_s * (1 + REPEATED_COST * failure_share + SHED_COST * self.shed_share)
 
     def on_sent(self, now: float) -> None:
         """Count a sub-request in flight."""
@@ -167,115 +173,120 @@
         self.passed_over = 0
 
     def on_ended(self, now: float) -> None:
-        """Count the end of a sub-request, whatever it was."""
+        """Count the end of a sub-request, regardless of its result."""
         self.in_flight = max(0, self.in_flight - 1)
         self.busy_since = now
 
     def score(self, now: float) -> float:
         """Return the expected cost of one more sub-request; lower is better."""
         if now - self.sent_at > self.reprobe_s and self.passed_over >= REPROBE_PASSES:
-            return 0.0  # what was observed is too old; without a new sample it would never change
-        # The reported load only decides between otherwise equal targets; it can lag or mislead.
+            return 0.0  # outdated; without a new sample the score would never change
+        # The reported load may be outdated or wrong, so it only breaks ties.
         return self.cost() + 1e-9 * self.reported
 
     def on_reply(self, latency_s: float, now: float) -> None:
         """Count an accepted reply."""
         self.replies += 1
-        self.failures = 0
-        self._count_end(now, failed=False)
+        self.consecutive_failures = 0
+        self._record_outcome(now, failed=False)
         if self.ejections and now - self.ejected_until > CALM_S:
             self.ejections = 0
-        if latency_s > SLOW * self.base_s > 0:
-            self._stay_away(now)
+        if latency_s > SLOW * self.base_latency_s > 0:
+            self._back_off(now)
         else:
             self.reprobe_s = REPROBE_S
-        known, since_s = self.latency_s, now - self.replied_at
+        previous_s, since_s = self.latency_s, now - self.replied_at
         self.replied_at = now
-        if not known:
-            self.latency_s = self.base_s = latency_s
+        if not previous_s:
+            self.latency_s = self.base_latency_s = latency_s
             return
-        weight = max(_LATENCY_WEIGHT, _renewed(since_s))
-        step = (min(latency_s, LATENCY_RISE * known) - known) * weight
-        self.latency_s = known + step
-        rising = latency_s > self.base_s
-        self.base_s += (latency_s - self.base_s) * (_BASE_RISE if rising else _BASE_FALL)
-        # A limit that is not used says nothing about the capacity behind it, and a slow reply
-        # may have waited in the target's queue. More than the slots could only wait there, while
-        # replicas in other domains have free ones.
-        if self.in_flight >= self.limit * _USED and latency_s < _GOOD * self.base_s:
+        weight = max(_MIN_LATENCY_WEIGHT, _time_weight(since_s))
+        change = (min(latency_s, LATENCY_RISE * previous_s) - previous_s) * weight
+        self.latency_s = previous_s + change
+        rising = latency_s > self.base_latency_s
+        self.base_latency_s += (latency_s - self.base_latency_s) * (
+            _BASE_RISE_WEIGHT if rising else _BASE_FALL_WEIGHT
+        )
+        # The limit grows only if it is used, since an unused limit says nothing about capacity, and
+        # only on a fast reply, since a slow one may have been queued at the target. It does not
+        # exceed the slots: more would queue there while replicas in other domains have free slots.
+        if (
+            self.in_flight >= self.limit * _MIN_USED_SHARE
+            and latency_s < _GROWTH_LATENCY_FACTOR * self.base_latency_s
+        ):
             self.limit = min(float(self.slots), self.limit + 1.0 / self.limit)
 
-    def _stay_away(self, now: float) -> None:
-        """Double the time until the next trial, once for all sub-requests of one trial."""
+    def _back_off(self, now: float) -> None:
+        """Double the time until the next trial, once for all sub-requests of a trial."""
         if now - self.slow_at >= self.reprobe_s:
             self.reprobe_s = min(REPROBE_MAX_S, 2 * self.reprobe_s)
             self.slow_at = now
 
-    def _count_end(self, now: float, *, failed: bool, shed: bool = False) -> None:
-        weight = max(_FAILED_WEIGHT, min(FAILED_WEIGHT_MAX, _renewed(now - self.ended_at)))
+    def _record_outcome(self, now: float, *, failed: bool, shed: bool = False) -> None:
+        weight = max(_MIN_FAILED_WEIGHT, min(FAILED_WEIGHT_MAX, _time_weight(now - self.ended_at)))
         self.failed_share += (failed - self.failed_share) * weight
         self.shed_share += (shed - self.shed_share) * weight
         self.ended_at = now
 
     def on_shed(self, now: float) -> None:
-        """Lower the limit, once for all shed replies of one round trip."""
-        self.sheds += 1
-        self._count_end(now, failed=True, shed=True)
-        if now - self.limit_cut_at >= self.latency_s:
+        """Count a shed reply and lower the limit, once per round trip."""
+        self.shed_count += 1
+        self._record_outcome(now, failed=True, shed=True)
+        if now - self.limit_lowered_at >= self.latency_s:
             self.limit = max(1.0, self.limit * _SHED_FACTOR)
-            self.limit_cut_at = now
+            self.limit_lowered_at = now
 
     def on_queued(self, now: float) -> None:
-        """Lower the limit because requests wait at the target, once for each round trip."""
-        if now - self.limit_cut_at >= self.latency_s:
+        """Lower the limit because requests are queued at the target, once per round trip."""
+        if now - self.limit_lowered_at >= self.latency_s:
             self.limit = max(1.0, self.limit * _QUEUED_FACTOR)
-            self.limit_cut_at = now
+            self.limit_lowered_at = now
 
     def on_failure(self, now: float) -> None:
-        """Count a failure; eject after too many in a row."""
-        self.losses += 1
-        self.failures += 1
-        self._count_end(now, failed=True)
-        if self.failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
+        """Count a failure and eject the target after too many consecutive ones."""
+        self.failure_count += 1
+        self.consecutive_failures += 1
+        self._record_outcome(now, failed=True)
+        if self.consecutive_failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
             wait = min(EJECT_MAX_S, EJECT_BASE_S * 2**self.ejections)
             self.ejections = min(self.ejections + 1, 10)
             self.ejected_at, self.ejected_until = now, now + wait
-            # After the ejection a single failure is enough for the next one.
-            self.failures = FAILURES_TO_EJECT - 1
+            # After the ejection, a single failure causes the next ejection.
+            self.consecutive_failures = FAILURES_TO_EJECT - 1
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return the state with its explanation."""
+        """Return the state and the reason for it."""
         return {
             "domain": self.domain,
             "why": self._why(now),
             "in_flight": self.in_flight,
             "limit": round(self.limit, 2),
             "latency_ms": round(self.latency_s * 1e3, 3),
-            "consecutive_failures": self.failures,
+            "consecutive_failures": self.consecutive_failures,
             "replies": self.replies,
-            "shed": self.sheds,
+            "shed": self.shed_count,
             "failed_share": round(self.failed_share, 3),
-            "failed": self.losses,
+            "failed": self.failure_count,
             "reported_load": round(self.reported, 3),
         }
 
     def _why(self, now: float) -> str:
         if self.leaving:
-            return "leaving: the target refused work because it is leaving"
+            return "leaving: the target refused work because it is shutting down"
         if self.down:
-            return "down: the connection monitor got no answer"
+            return "down: the connection monitor finds the target unreachable"
         if self.held_until > now:
-            return f"held back: it wants no requests for {self.held_until - now:.1f} s more"
+            return f"held back: the hold ends in {self.held_until - now:.1f} s"
         if self.ejected_until > now:
-            left = self.ejected_until - now
-            return f"ejected: consecutive failures, for {left:.1f} s more"
+            remaining_s = self.ejected_until - now
+            return f"ejected: consecutive failures; the ejection ends in {remaining_s:.1f} s"
         if now < self.warm_until:
-            return f"warming up: gets {self.warm_share(now):.0%} of a full share"
+            return f"warming up: gets {self.warm_share(now):.0%} of its full load share"
         if self.in_flight >= self.limit:
             return "at its limit: used only if no replica has free capacity"
         return "in use"
 
 
-def _renewed(since_s: float) -> float:
-    """Return the part of an observation that has lost its worth after some time."""
+def _time_weight(since_s: float) -> float:
+    """Return the weight of a new observation by the time since the last one."""
     return 1.0 - math.exp(-since_s / MEMORY_S)
--- a/bramleycrank/query/types.py
+++ b/bramleycrank/query/types.py
@@ -12,10 +12,10 @@
 from bramleycrank.proto.target_pb2 import SubRequest
 
 READ_KINDS = frozenset({"search", "fetch", "quick_match"})
-"""Built-in kinds; they are always idempotent."""
+"""Built-in request kinds, which are always idempotent."""
 
 SCATTER_KINDS = frozenset({"search", "quick_match"})
-"""Kinds that go to every shard. All others go to the shard of their key."""
+"""Request kinds that go to every shard; all others go to the shard of their key."""
 
 CLASSES = ("urgent", "normal", "bulk")
 """Priority classes, most urgent first."""
@@ -35,14 +35,14 @@
 class FailureReason(enum.StrEnum):
     """Why a sub-request ended without a reply, as reported by the session layer."""
 
-    NOT_SENT = "not_sent"  # no byte of it was written: it did not run
+    NOT_SENT = "not_sent"  # no byte of it was written, so it did not run
     CONNECTION_LOST = "connection_lost"  # it may have run
-    TARGET_DOWN = "target_down"  # the target was found down after sending; it may have run
+    TARGET_DOWN = "target_down"  # the target went down after sending; it may have run
 
 
 @attrs.frozen(order=True, cache_hash=True)
 class Snapshot:
-    """An index version together with the number of shards in its map."""
+    """An index version and the number of shards in its shard map."""
 
     version: int
     shard_count: int
@@ -59,9 +59,11 @@
     priority : str
         ``urgent``, ``normal`` or ``bulk``; the field ``class`` of the JSON form.
     deadline_ms : int
-        Time for the whole answer in milliseconds; 0 takes the default of the service.
-    request_key, issued_at_ms
-        Identity of a non-idempotent request, the same on every resend.
+        Time for the whole answer in milliseconds; 0 for the default of the service.
+    request_key : str
+        With `issued_at_ms`, identifies a non-idempotent request; the same on every resend.
+    issued_at_ms : int
+        When the caller issued the request, in milliseconds.
     """
 
     service: str
@@ -104,7 +106,7 @@
 
 @attrs.frozen
 class Coverage:
-    """How much of the snapshot an answer covers."""
+    """Number of shards that an answer covers, and the missing ones."""
 
     answered: int
     total: int
@@ -123,7 +125,7 @@
 class Attempts:
     """Counts of sub-requests, and of restarts on a newer snapshot.
 
-    ``sent`` is the sum of first sub-requests (of every start), hedges and retries.
+    ``sent`` is the sum of first sub-requests (including those of restarts), hedges and retries.
     """
 
     needed: int
@@ -155,7 +157,7 @@
     request_key: str = ""
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the JSON form that callers see."""
+        """Return the JSON form that callers receive."""
         result = self.result
         return {
             "outcome": self.outcome,
@@ -169,7 +171,7 @@
 
     @classmethod
     def from_dict(cls, data: Mapping[str, Any]) -> Answer:
-        """Return the answer with the JSON form `data`.
+        """Parse an answer from its JSON form.
 
         Raises
         ------
@@ -198,7 +200,7 @@
 
 @attrs.frozen
 class QueryConfig:
-    """Options of the query path; the fields of the settings section ``[query]``.
+    """Options of the query path, named as in the settings section ``[query]``.
 
     Parameters
     ----------
@@ -207,13 +209,13 @@
     queue_limit : int
         Queued requests per class.
     initial_concurrency, max_concurrency : int
-        Start and upper bound of the adaptive limit on requests in flight.
+        Initial value and upper bound of the adaptive limit on requests in flight.
     hedge_quantile : float
-        Quantile of the sub-request latency after which a sub-request is hedged.
+        Quantile of the sub-request latency at which a sub-request is hedged.
     hedge_budget, retry_budget : float
-        Hedges and retries as shares of the sub-requests.
+        Hedges and retries as shares of the first sub-requests.
     warmup_s : float
-        Time over which the share of a new target grows to its full size.
+        Time in seconds over which the load share of a new target grows to its full size.
     """
 
     policy: str = "adaptive"
@@ -227,19 +229,19 @@
 
     @classmethod
     def from_settings(cls, section: object) -> QueryConfig:
-        """Return the options found as attributes of `section`; defaults for the others."""
+        """Return the options that `section` has as attributes, and defaults for the others."""
         names = [field.name for field in attrs.fields(cls)]
         return cls(**{name: getattr(section, name) for name in names if hasattr(section, name)})
 
 
 @attrs.define(eq=False)
 class Ticket:
-    """A request before and inside admission.
+    """A request in admission control.
 
     Parameters
     ----------
     deadline : float
-        Latest time for the answer.
+        Latest time for the answer, in seconds.
     max_concurrency, queue_limit : int
         Limits of the service; 0 for none.
     """
@@ -271,7 +273,7 @@
 
 @attrs.define(eq=False)
 class Dispatch:
-    """Action: send `request` to a target. Not frozen: it is made for every sub-request."""
+    """Action: send `request` to a target. Not frozen, since frozen classes are slower to create."""
 
     target_id: str
     request: SubRequest
@@ -279,7 +281,7 @@
 
 @attrs.define(eq=False)
 class CancelSub:
-    """Action: tell the target that the reply is no longer needed."""
+    """Action: cancel a sub-request at its target."""
 
     sub_id: int
     target_id: str
@@ -303,7 +305,7 @@
 
 
 class QueryPolicy(Protocol):
-    """Decides where sub-requests go and whether extra ones are sent."""
+    """Chooses the targets of sub-requests and decides on extra sub-requests."""
 
     def choose(
         self, service: str, snapshot: Snapshot, shard: int, exclude: Collection[str], now: float
@@ -311,16 +313,16 @@
         """Return the target for a sub-request; None if no replica is left."""
 
     def hedge_delay(self, service: str) -> float | None:
-        """Return the time in seconds after which to hedge; None for no hedging."""
+        """Return the time in seconds after which a sub-request is hedged; None for no hedging."""
 
     def take_hedge(self, service: str) -> bool:
-        """Take one hedge from the budget; False if it is used up."""
+        """Take one hedge token from the budget; return False if there is none."""
 
     def take_retry(self, service: str) -> bool:
-        """Take one retry from the budget; False if it is used up."""
+        """Take one retry token from the budget; return False if there is none."""
 
     def on_sent(self, service: str, target_id: str, first: bool, now: float) -> None:
-        """Count a sub-request; `first` unless it is a hedge or a retry."""
+        """Count a sub-request; `first` is False for hedges and retries."""
 
     def on_reply(
         self, service: str, target_id: str, latency_s: float, first: bool, now: float
@@ -336,15 +338,15 @@
     def on_cancelled(
         self, service: str, target_id: str, elapsed_s: float, first: bool, now: float
     ) -> None:
-        """Count a cancelled sub-request; `elapsed_s` is 0 unless another reply overtook it."""
+        """Count a cancelled sub-request; `elapsed_s` is 0 unless another reply superseded it."""
 
     def on_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
-        """Record that the target does not hold the shard, or is leaving if `snapshot` is None."""
+        """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return the state and its explanation."""
+        """Return the state and the reason for it."""
 
 
 NextSubId = Callable[[], int]
