--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -102,7 +102,7 @@
     ended_at: float = 0.0
     latency_s: float = 0.0
     base_latency_s: float = 0.0
-    consecutive_failures: int = 0
+    failures: int = 0  # consecutive ones
     failed_share: float = 0.0  # of the recent sub-requests, including shed ones
     shed_share: float = 0.0  # of the recent sub-requests
     ejections: int = 0
@@ -141,11 +141,7 @@
 
     def cost(self) -> float:
         """Return the expected cost of one more sub-request, regardless of the observations' age."""
-        load_s = (
-            (self.in_flight + 1)
-            * (self.latency_s or UNKNOWN_LATENCY_S)
-            * (1 + self.consecutive_failures)
-        )
+        load_s = (self.in_flight + 1) * (self.latency_s or UNKNOWN_LATENCY_S) * (1 + self.failures)
         return load_s * (1 + FAILED_COST * self.failed_share)
 
     def expected_s(self, now: float) -> float:
@@ -159,9 +155,7 @@
         queue_rounds = max(1.0, (self.in_flight + 1) / self.slots)
         silent_s = now - self.busy_since if self.in_flight else 0.0
         wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
-        failure_share = max(
-            self.failed_share, min(1.0, self.consecutive_failures / FAILURES_TO_EJECT)
-        )
+        failure_share = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
         return wait_s * (1 + REPEATED_COST * failure_share + SHED_COST * self.shed_share)
 
     def on_sent(self, now: float) -> None:
@@ -187,7 +181,7 @@
     def on_reply(self, latency_s: float, now: float) -> None:
         """Count an accepted reply."""
         self.replies += 1
-        self.consecutive_failures = 0
+        self.failures = 0
         self._record_outcome(now, failed=False)
         if self.ejections and now - self.ejected_until > CALM_S:
             self.ejections = 0
@@ -245,14 +239,14 @@
     def on_failure(self, now: float) -> None:
         """Count a failure and eject the target after too many consecutive ones."""
         self.failure_count += 1
-        self.consecutive_failures += 1
+        self.failures += 1
         self._record_outcome(now, failed=True)
-        if self.consecutive_failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
+        if self.failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
             wait = min(EJECT_MAX_S, EJECT_BASE_S * 2**self.ejections)
             self.ejections = min(self.ejections + 1, 10)
             self.ejected_at, self.ejected_until = now, now + wait
             # After the ejection, a single failure causes the next ejection.
-            self.consecutive_failures = FAILURES_TO_EJECT - 1
+            self.failures = FAILURES_TO_EJECT - 1
 
     def dump(self, now: float) -> dict[str, Any]:
         """Return the state and the reason for it."""
@@ -262,7 +256,7 @@
             "in_flight": self.in_flight,
             "limit": round(self.limit, 2),
             "latency_ms": round(self.latency_s * 1e3, 3),
-            "consecutive_failures": self.consecutive_failures,
+            "consecutive_failures": self.failures,
             "replies": self.replies,
             "shed": self.shed_count,
             "failed_share": round(self.failed_share, 3),
