--- a/bramleycrank/connections/__init__.py
+++ b/bramleycrank/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Connection monitor and budgets, without I/O."""
+"""Connection monitor and connection budgets, without I/O."""
 
 from bramleycrank.connections.budgets import ConnectionBudget, ReconnectBudget, slot_share
 from bramleycrank.connections.monitor import ConnectionMonitor
--- a/bramleycrank/connections/budgets.py
+++ b/bramleycrank/connections/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: connections per target, reconnects per VM, and the share of a target's slots."""
+"""Budgets for connections per target and reconnects per VM, and shares of a target's slots."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._rate = rate
         self._burst = burst
         self._tokens = float(burst)
-        self._updated = now
+        self._updated_at = now
 
     @classmethod
     def from_config(cls, cfg: ConnectionConfig, now: float) -> ReconnectBudget:
@@ -32,26 +32,26 @@
         return cls(cfg.reconnects_per_s, cfg.reconnect_burst, now)
 
     def take(self, now: float, *, reserve: float = 0.0) -> bool:
-        """Take one token; return whether there was one.
+        """Take one token; return False if there is none.
 
         Parameters
         ----------
         now : float
             Current time in seconds.
         reserve : float, optional
-            Share of the bucket that must be left. Repeated attempts to reach targets that are down
-            leave half of it, or the targets behind a cut would use up what the others need.
+            Share of the bucket that must remain. Retries to targets that are down leave half of
+            it. Otherwise targets behind a network partition would use up the whole budget.
         """
-        elapsed = max(0.0, now - self._updated)
+        elapsed = max(0.0, now - self._updated_at)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
-        self._updated = now
+        self._updated_at = now
         if self._tokens < 1 + reserve * self._burst:
             return False
         self._tokens -= 1
         return True
 
     def dump(self) -> dict[str, object]:
-        """Return the tokens at the last use."""
+        """Return the tokens after the last use, the rate and the burst."""
         return {"tokens": round(self._tokens, 2), "rate": self._rate, "burst": self._burst}
 
 
@@ -59,8 +59,8 @@
     """Share of a target's connections that one VM may open.
 
     The share is ``floor(limit / (n + 1))`` and at least 1, with ``n`` the highest number of VMs of
-    the last 30 s. The additional place is for a VM that is joining and not known yet. A VM that
-    joined takes 1 for its first 5 s, because the others may not have shrunk their shares yet.
+    the last 30 s. The additional 1 is for a VM that is joining and not known yet. A new VM opens
+    only 1 connection in its first 5 s, since the others may not have reduced their shares yet.
 
     Parameters
     ----------
@@ -73,11 +73,11 @@
     def __init__(self, cfg: ConnectionConfig, now: float) -> None:
         self._cfg = cfg
         self._joined_at = now
-        # Falling counts with the time at which each was last seen; the first one is the highest.
+        # Decreasing counts with the time at which each was last seen; the first is the highest.
         self._counts: deque[tuple[int, float]] = deque()
 
     def on_count(self, vm_count: int, now: float) -> None:
-        """Note the number of VMs known, dead ones of the last 30 s included."""
+        """Record the number of known VMs, including those that died in the last 30 s."""
         while self._counts and self._counts[-1][0] <= vm_count:
             self._counts.pop()
         self._counts.append((vm_count, now))
@@ -88,7 +88,7 @@
         Parameters
         ----------
         limit : int
-            Connections that the target accepts in all; 0 if it did not say.
+            Total connections that the target accepts; 0 if it did not report a limit.
         now : float
             Current time in seconds.
         """
@@ -100,12 +100,12 @@
         return max(1, limit // (vm_count + 1))
 
     def dump(self) -> dict[str, object]:
-        """Return the counts that bound the share."""
+        """Return the VM counts that determine the share."""
         return {"joined_at": self._joined_at, "counts": list(self._counts)}
 
 
 def slot_share(slots: int, domain_vms: int, *, same_domain: bool) -> int:
-    """Return a VM's share of a target's slots, which its concurrency limit starts with.
+    """Return a VM's share of a target's slots, the initial value of its concurrency limit.
 
     Parameters
     ----------
@@ -114,6 +114,6 @@
     domain_vms : int
         VMs in the target's domain.
     same_domain : bool
-        Whether the VM is in the target's domain; others start with 1.
+        Whether the VM is in the target's domain; the share of others is 1.
     """
     return max(1, slots // max(1, domain_vms)) if same_domain else 1
--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -1,4 +1,4 @@
-"""Connections of one VM to HTTP targets, with one request at a time on each."""
+"""Pool of the connections of one VM to HTTP targets, with one request at a time on each."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from bramleycrank.connections.http_types import Connection, Ending, PoolSub
 
 CONNECT_TIMEOUT_S = 0.5
-"""Limit for opening a connection; a target that drops packets at its limit resends after 1 s."""
+"""Timeout for opening a connection; a SYN that a target at its limit drops is resent after 1 s."""
 
 LINGER_S = 1.0
-"""How long a target may finish a sub-request that another target has answered, in seconds."""
+"""How long a target may finish a superseded sub-request, in seconds."""
 
 BACKOFF_S, BACKOFF_MAX_S = 0.25, 1.0
-"""First and longest pause between attempts to connect to a target that is down, in seconds."""
+"""First and longest interval between attempts to connect to a target that is down, in seconds."""
 
 SILENCE_S = 0.25
-"""Silence of a target with sub-requests in flight after which a new connection is tried."""
+"""Silence of a target with sub-requests in flight after which a new connection is opened."""
 
 PROBE_PAUSE_S = 1.0
-"""Time after such an attempt until the next one to a target that is silent but reachable."""
+"""Interval between probe connections to a target that is silent but reachable."""
 
 
 @attrs.define(eq=False)
@@ -44,26 +44,26 @@
 
 
 class HttpPool:
-    """Gives sub-requests to connections within each target's limit.
+    """Sends sub-requests on pooled connections within the connection limit of each target.
 
-    A target to which no connection can be opened is down: what is in flight there is lost, and it
-    gets nothing more until a connection opens. A target that is silent with sub-requests in flight
-    is tried with a new connection, which tells a slow target from one that is cut off.
+    A target to which no connection can be opened is down: its sub-requests in flight are lost, and
+    it receives no others until a connection opens. If a target with sub-requests in flight is
+    silent, a new connection is opened to distinguish a slow target from an unreachable one.
 
-    The last connection that became idle is used first, so that those beyond the need reach the idle
-    time of the target.
+    The connection that became idle last is used first, so that surplus connections reach the idle
+    timeout of the target.
 
     Parameters
     ----------
     open_connection : callable
-        Called with the target's host, port and a listener of the connection; starts to connect and
-        returns the connection. Failures are reported by ``on_closed``.
+        Called with the target's host, its port and the pool, which listens to the connection;
+        starts to connect and returns the connection. Failures are reported to ``on_closed``.
     share : callable
-        Returns how many of a target's connections this VM may open.
+        Returns how many connections this VM may open, given the target's connection limit.
     on_room : callable
-        Called with a target's id when it can take one more sub-request.
+        Called with the id of a target that can receive one more sub-request.
     on_down : callable
-        Called with a target's id and whether it is down, after each change.
+        Called with the id of a target and whether it is down, after each change.
     clock : callable
         Monotonic time in seconds.
     """
@@ -82,16 +82,16 @@
         self._on_down = on_down
         self._clock = clock
         self._targets: dict[str, _Target] = {}
-        self._subs: dict[Connection, PoolSub] = {}
-        self._owners: dict[Connection, _Target] = {}
-        self._opened_at: dict[Connection, float] = {}
+        self._sub_by_conn: dict[Connection, PoolSub] = {}
+        self._target_by_conn: dict[Connection, _Target] = {}
+        self._connecting_since: dict[Connection, float] = {}
         self._lingering: set[PoolSub] = set()
         self.opened = 0
 
     # Targets.
 
     def update(self, target_id: str, host: str, port: int, limit: int) -> None:
-        """Add a target, or take its new address."""
+        """Add a target, or update its address and limit."""
         known = self._targets.get(target_id)
         if known is not None and (known.host, known.port) == (host, port):
             known.limit = limit
@@ -101,90 +101,93 @@
         self._targets[target_id] = _Target(target_id, host, port, limit)
 
     def remove(self, target_id: str) -> None:
-        """Send nothing more to a target; what is in flight may finish."""
+        """Remove a target; its sub-requests in flight may finish."""
         target = self._targets.pop(target_id, None)
         if target is None:
             return
         target.retired = True
         if target.down:
-            self._on_down(target_id, False)  # the next target of this name begins as up
+            self._on_down(target_id, False)  # a new target with this id starts as up
         for conn in list(target.idle):
             conn.close()
 
     def has_room(self, target_id: str) -> bool:
-        """Return whether a target can take one more sub-request now."""
+        """Return whether a target can receive one more sub-request now."""
         target = self._targets.get(target_id)
         if target is None or target.down:
             return False
         now = self._clock()
-        if any(_is_fresh(conn, now) for conn in target.idle):
+        if any(_is_usable(conn, now) for conn in target.idle):
             return True
-        # Idle connections that may not be used again make room for new ones.
+        # Expired idle connections do not count, since they are replaced by new ones.
         used = len(target.all) - len(target.idle)
         return used < self._share(target.limit)
 
     # Sub-requests.
 
     def send(self, sub: PoolSub) -> None:
-        """Send on an idle connection, or on a new one."""
+        """Send a sub-request on an idle connection or on a new one."""
         target = self._targets.get(sub.target_id)
         if target is None:
             sub.listener.on_lost(sub, sent=False, garbled=False)
             return
         conn = self._take_idle(target) or self._open(target)
         sub.conn = conn
-        self._subs[conn] = sub
+        self._sub_by_conn[conn] = sub
         if conn.connected:
             self._transmit(sub)
 
     def recall(self, target_id: str) -> None:
-        """Take back the sub-requests that wait for a connection to a target."""
-        for conn, sub in list(self._subs.items()):
+        """Cancel the sub-requests that wait for a connection to a target; they count as lost."""
+        for conn, sub in list(self._sub_by_conn.items()):
             if sub.target_id == target_id and not sub.sent:
-                del self._subs[conn]  # the connection becomes idle once it is open
+                del self._sub_by_conn[conn]  # the connection becomes idle once it is open
                 sub.listener.on_lost(sub, sent=False, garbled=False)
 
     def cancel(self, sub: PoolSub, *, overtaken: bool) -> None:
-        """Give a sub-request up; its listener hears only `on_given_up`."""
+        """Cancel a sub-request; a superseded one may still finish within `LINGER_S`.
+
+        The listener receives `on_given_up`, preceded by `on_late` if a response arrives.
+        """
         conn = sub.conn
-        if conn is None or self._subs.get(conn) is not sub:
+        if conn is None or self._sub_by_conn.get(conn) is not sub:
             return
         if not sub.sent:
-            del self._subs[conn]  # the connection becomes idle once it is open
+            del self._sub_by_conn[conn]  # the connection becomes idle once it is open
             sub.listener.on_given_up(sub, Ending.CANCELLED)
         elif overtaken:
             sub.linger_until = self._clock() + LINGER_S
             self._lingering.add(sub)
         else:
-            del self._subs[conn]
+            del self._sub_by_conn[conn]
             conn.close()
             sub.listener.on_given_up(sub, Ending.CANCELLED)
 
     def tick(self) -> None:
-        """End what takes too long, and report targets whose pause has ended."""
+        """Enforce the timeouts, and connect to targets that are down or silent."""
         now = self._clock()
         for sub in [s for s in self._lingering if now >= s.linger_until]:
             self._lingering.discard(sub)
-            self._subs.pop(sub.conn, None)
+            self._sub_by_conn.pop(sub.conn, None)
             sub.conn.close()
             sub.listener.on_given_up(sub, Ending.SILENT)
-        for conn, opened_at in list(self._opened_at.items()):
+        for conn, opened_at in list(self._connecting_since.items()):
             if now - opened_at >= CONNECT_TIMEOUT_S:
                 conn.close()
                 self.on_closed(conn)
         for target in list(self._targets.values()):
-            for conn in [c for c in target.idle if not _is_fresh(c, now)]:
+            for conn in [c for c in target.idle if not _is_usable(c, now)]:
                 conn.close()
             if target.down and now >= target.retry_at:
                 target.retry_at = now + BACKOFF_MAX_S
                 self._open(target)
-        self._probe_silent(now)
+        self._probe_silent_targets(now)
 
-    def _probe_silent(self, now: float) -> None:
-        """Try a new connection to each target that owes an answer and says nothing."""
+    def _probe_silent_targets(self, now: float) -> None:
+        """Open a probe connection to each silent target with sub-requests in flight."""
         silent = {
             sub.target_id
-            for sub in self._subs.values()
+            for sub in self._sub_by_conn.values()
             if sub.sent and now - sub.sent_at > SILENCE_S
         }
         for target_id in silent:
@@ -199,7 +202,7 @@
         now = self._clock()
         while target.idle:
             conn = target.idle.pop()
-            if _is_fresh(conn, now):
+            if _is_usable(conn, now):
                 return conn
             conn.close()
         return None
@@ -208,8 +211,8 @@
         conn = self._open_connection(target.host, target.port, self)
         self.opened += 1
         target.all.add(conn)
-        self._owners[conn] = target
-        self._opened_at[conn] = self._clock()
+        self._target_by_conn[conn] = target
+        self._connecting_since[conn] = self._clock()
         return conn
 
     def _transmit(self, sub: PoolSub) -> None:
@@ -220,58 +223,58 @@
     # Events of connections.
 
     def on_connected(self, conn: Connection) -> None:
-        """Send what waits for the connection."""
-        if self._opened_at.pop(conn, None) is None:
-            conn.close()  # it took too long and was given up
+        """Send the sub-request that waits for the connection."""
+        if self._connecting_since.pop(conn, None) is None:
+            conn.close()  # it opened after the connect timeout
             return
-        target = self._owners[conn]
+        target = self._target_by_conn[conn]
         self._set_up(target)
-        sub = self._subs.get(conn)
+        sub = self._sub_by_conn.get(conn)
         if sub is not None:
             self._transmit(sub)
         else:
-            self._release(conn)
+            self._make_idle(conn)
 
     def on_response(self, conn: Connection, response: Any) -> None:
-        """Pass a response on and use the connection again."""
-        sub = self._subs.pop(conn, None)
+        """Pass a response to the listener and reuse the connection."""
+        sub = self._sub_by_conn.pop(conn, None)
         if sub is None:
             conn.close()
             return
-        if conn in self._owners:
-            self._owners[conn].answered_at = self._clock()
+        if conn in self._target_by_conn:
+            self._target_by_conn[conn].answered_at = self._clock()
         if sub.linger_until is not None:
             self._lingering.discard(sub)
             sub.listener.on_late(sub, response)
             sub.listener.on_given_up(sub, Ending.ANSWERED)
-            self._release(conn)
+            self._make_idle(conn)
             return
-        # Before the listener: what it sends next may use the connection.
-        self._release(conn)
+        # The connection is released before the listener is called, which may send on it.
+        self._make_idle(conn)
         if not sub.listener.on_response(sub, response):
             conn.close()
 
     def on_broken(self, conn: Connection, *, garbled: bool) -> None:
-        """Report the loss of a response."""
-        self._lose(conn, garbled=garbled)
+        """Handle a connection that failed during a response."""
+        self._report_lost(conn, garbled=garbled)
 
     def on_closed(self, conn: Connection) -> None:
-        """Forget a connection."""
-        target = self._owners.pop(conn, None)
+        """Remove a closed connection."""
+        target = self._target_by_conn.pop(conn, None)
         if target is None:
             return
         target.all.discard(conn)
         if conn in target.idle:
             target.idle.remove(conn)
-        refused = self._opened_at.pop(conn, None) is not None
-        self._lose(conn, garbled=False)
-        if refused:
+        open_failed = self._connecting_since.pop(conn, None) is not None
+        self._report_lost(conn, garbled=False)
+        if open_failed:
             self._set_down(target)
         if not target.retired:
             self._on_room(target.target_id)
 
-    def _lose(self, conn: Connection, *, garbled: bool) -> None:
-        sub = self._subs.pop(conn, None)
+    def _report_lost(self, conn: Connection, *, garbled: bool) -> None:
+        sub = self._sub_by_conn.pop(conn, None)
         if sub is None:
             return
         if sub.linger_until is not None:
@@ -281,9 +284,9 @@
             sub.listener.on_lost(sub, sent=sub.sent, garbled=garbled)
 
     def _set_down(self, target: _Target) -> None:
-        pause_s = min(BACKOFF_MAX_S, BACKOFF_S * 2**target.failures)
+        backoff_s = min(BACKOFF_MAX_S, BACKOFF_S * 2**target.failures)
         target.failures = min(target.failures + 1, 10)
-        target.retry_at = self._clock() + pause_s
+        target.retry_at = self._clock() + backoff_s
         if target.down or target.retired:
             return
         target.down = True
@@ -298,18 +301,18 @@
             target.down = False
             self._on_down(target.target_id, False)
 
-    def _release(self, conn: Connection) -> None:
-        target = self._owners.get(conn)
+    def _make_idle(self, conn: Connection) -> None:
+        target = self._target_by_conn.get(conn)
         if target is None or conn.closed:
             return
         if target.retired:
             conn.close()
-        elif _is_fresh(conn, self._clock()):
+        elif _is_usable(conn, self._clock()):
             target.idle.append(conn)
             self._on_room(target.target_id)
 
     def dump(self) -> dict[str, Any]:
-        """Return the connections of each target."""
+        """Return the state and the connections of each target."""
         return {
             target.target_id: {
                 "address": f"{target.host}:{target.port}",
@@ -322,5 +325,5 @@
         }
 
 
-def _is_fresh(conn: Connection, now: float) -> bool:
+def _is_usable(conn: Connection, now: float) -> bool:
     return conn.connected and (conn.idle_until is None or now < conn.idle_until)
--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -1,4 +1,4 @@
-"""Sub-requests on connections to HTTP targets, and who hears of their ends."""
+"""Sub-requests to HTTP targets, and the interfaces of connections and listeners."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Connection(Protocol):
-    """A connection to a target; `transport.http1.TargetConnection`."""
+    """A connection to a target, as implemented by `transport.http1.TargetConnection`."""
 
     closed: bool
     idle_until: float | None
@@ -27,39 +27,39 @@
         """Send a request."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
 
 
 class Ending(enum.Enum):
-    """How a sub-request ended that was given up."""
+    """Outcome of a cancelled sub-request."""
 
-    ANSWERED = enum.auto()  # the target answered, too late to be used
-    CANCELLED = enum.auto()  # it was not sent, or its connection was closed at once
-    SILENT = enum.auto()  # the target had its time, or closed the connection
+    ANSWERED = enum.auto()  # the target answered after the cancellation
+    CANCELLED = enum.auto()  # it was not sent, or its connection was closed immediately
+    SILENT = enum.auto()  # no response within the time limit, or the connection was lost
 
 
 class SubListener(Protocol):
-    """Hears how a sub-request ends; one of the calls comes once."""
+    """Listener for the end of a sub-request; exactly one call ends it."""
 
     def on_response(self, sub: PoolSub, response: Any) -> bool:
-        """Take the response; return whether it belongs to the request.
+        """Handle a response; return whether it belongs to the request.
 
-        The connection is closed if not, because the next response would be another stray one.
+        If it does not, the connection is closed, since later responses would not match either.
         """
 
     def on_lost(self, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
-        """Take note that there is no whole response."""
+        """Handle a sub-request that ended without a complete response."""
 
     def on_late(self, sub: PoolSub, response: Any) -> None:
-        """Take the response to a cancelled sub-request; `on_given_up` follows."""
+        """Handle the response to a cancelled sub-request; `on_given_up` follows."""
 
     def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
-        """Take note that a cancelled sub-request occupies its target no more."""
+        """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
 @attrs.define(eq=False)
 class PoolSub:
-    """A sub-request on its way.
+    """A sub-request that was handed to the pool.
 
     Parameters
     ----------
@@ -68,15 +68,15 @@
     target_id : str
         The target.
     encode : callable
-        Returns the bytes of the request; called when they are sent, since they tell the time left.
+        Returns the bytes of the request. It is called on sending, since they contain the time left.
     head : bool
         Whether it is a HEAD request.
     listener : SubListener
-        Hears of the end.
+        Receives the end of the sub-request.
     started : float
-        When it was handed to the pool, in seconds.
+        Time at which it was handed to the pool, in seconds.
     incarnation : int
-        Incarnation of the target that it is meant for.
+        Incarnation of the target to which it is sent.
     """
 
     sub_id: int
--- a/bramleycrank/connections/types.py
+++ b/bramleycrank/connections/types.py
@@ -1,4 +1,4 @@
-"""Options and actions of the connection cores."""
+"""Options and actions of the connection monitor and budgets."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     silence_min_s : float
         Shortest silence with requests in flight after which a connection is checked.
     silence_max_s : float
-        Longest such silence; bounds the time to find a silent connection of a slow target.
+        Longest such silence; bounds the time to detect a silent connection to a slow target.
     silence_factor : float
-        Silence as a multiple of the observed p99 of the latency.
+        Silence before a check, as a multiple of the observed p99 latency.
     ping_grace_s : float
-        Wait for the answer to a ping before a second connection is opened. A slow target answers
-        within it, which saves the reconnect budget.
+        Time to wait for a pong before a second connection is opened. A slow target answers the
+        ping in that time, which saves the reconnect budget.
     ping_timeout_s : float
-        A connection that gave no answer for this long beside a working one is silent.
+        Time without a message after which a connection is silent if another one works.
     open_timeout_s : float
-        Limit for opening a connection, first answer included.
+        Timeout for opening a connection, including the first message from the target.
     idle_ping_s : float
-        Time between pings of an idle connection.
+        Interval between pings on an idle connection.
     reconnects_per_s : float
         Refill rate of the reconnect budget.
     reconnect_burst : int
         Size of the reconnect budget.
     retry_min_s, retry_max_s : float
-        Bounds of the growing wait between attempts to open a connection to a target that is down.
+        Bounds of the back-off between attempts to connect to a target that is down.
     budget_retention_s : float
-        How long a higher number of VMs keeps reducing the share of a target's connections.
+        How long a higher earlier number of VMs still reduces the share of a target's connections.
     join_s : float
-        How long a VM that joined opens one connection per target only.
+        How long a new VM opens only one connection per target.
     """
 
     silence_min_s: float = 0.25
@@ -59,7 +59,7 @@
 class CloseReason(enum.StrEnum):
     """Why the monitor closes a connection."""
 
-    SILENT = "silent"  # it carries nothing, while the target answers elsewhere or may do so
+    SILENT = "silent"  # no message on it, while the target may answer on another one
     NOT_NEEDED = "not_needed"  # the older connection works
 
 
@@ -73,14 +73,14 @@
 
 @attrs.frozen
 class OpenConnection:
-    """Open a connection; answer with `on_open` or `on_open_failed` within `open_timeout_s`."""
+    """Open a connection; call `on_open` or `on_open_failed` within `open_timeout_s`."""
 
     target_id: str
 
 
 @attrs.frozen
 class CloseConnection:
-    """Close a connection; the monitor has forgotten it already."""
+    """Close a connection; the monitor has removed it already."""
 
     conn_id: int
     reason: CloseReason
