--- a/tests/query_fakes.py
+++ b/tests/query_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes and builders that the tests of the query path share."""
+"""Fakes and builders for the tests of the query path."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 def grid(
     snapshot: Snapshot, copies: int, domains: str = "abc", sequence: int = 1
 ) -> list[TargetRecord]:
-    """Return `copies` targets for each shard, each in another domain."""
+    """Return the records of `copies` targets for each shard, spread over the domains."""
     return [
         record(
             f"t{shard}{domains[copy % len(domains)]}{copy // len(domains) or ''}",
@@ -78,7 +78,7 @@
 
 
 def reply_to(request: SubRequest, status: int = SUB_STATUS_OK, hits: int = 1) -> SubReply:
-    """Return the reply that a correct target gives; hits name their snapshot and shard."""
+    """Return the reply of a correct target; the ids of its hits contain snapshot and shard."""
     reply = SubReply(sub_id=request.sub_id, status=status, shard=request.shard)
     reply.snapshot.CopyFrom(request.snapshot)
     if status == SUB_STATUS_OK:
@@ -114,7 +114,7 @@
 
 
 class FakeTargets:
-    """A list of targets that tests replace."""
+    """A list of target records that tests can replace."""
 
     def __init__(self, records: Sequence[TargetRecord]) -> None:
         self.records = list(records)
@@ -137,7 +137,7 @@
 
 
 class FakeSessions:
-    """Keeps what was sent; tests answer it, or set `on_send`."""
+    """Records sent sub-requests; tests answer them, or set `on_send`."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, SubRequest]] = []
@@ -161,9 +161,9 @@
 
 
 class FakeLog:
-    """The claim table of the replicated log, with faults in front of it.
+    """The claim table of the replicated log, with injected faults.
 
-    Each item of `faults` is taken by one proposal: ``no_quorum`` fails without effect,
+    Each proposal consumes one item of `faults`: ``no_quorum`` fails without effect,
     ``lost`` fails as unknown without effect, ``unknown`` fails as unknown after taking effect,
     ``slow`` takes effect late, ``broken`` fails with an untyped error.
     """
@@ -217,30 +217,30 @@
         return CommandResult(code=RESULT_CODE_CLAIM_HELD)
 
 
-class _SkippingSelector(selectors.DefaultSelector):
-    """Advances virtual time instead of waiting."""
+class _VirtualSelector(selectors.DefaultSelector):
+    """A selector that advances virtual time instead of waiting."""
 
     now = 1000.0
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise AssertionError("the loop waits for something that never comes")
+            raise AssertionError("the event loop waits without a timeout, so nothing can wake it")
         self.now += max(timeout, 0.0)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers need no real time."""
+    """An event loop that runs in virtual time."""
 
     def __init__(self) -> None:
-        self._skipping = _SkippingSelector()
-        super().__init__(self._skipping)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._skipping.now
+        return self._virtual_selector.now
 
 
 def run_virtual(coro: Coroutine) -> object:
-    """Run `coro` to its end in virtual time."""
+    """Run `coro` to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(coro)
--- a/tests/test_connections_monitor.py
+++ b/tests/test_connections_monitor.py
@@ -1,7 +1,7 @@
 """State machine over the connection monitors of one VM, and tests of the budgets.
 
-The simulated targets answer, are slow, are frozen or refuse connections, and each connection may go
-silent for good. The oracle knows which is which; the monitors must find out within a bound.
+The simulated targets answer, are slow, are frozen or refuse connections, and each connection may
+become silent for good. The monitors must detect each of these states within a bound.
 """
 
 import heapq
@@ -29,16 +29,16 @@
 
 CFG = ConnectionConfig()
 TICK_S = 0.05
-NETWORK_S = 0.005
+NETWORK_DELAY_S = 0.005
 
-# Silence, ping, opening and two ticks; beyond it a target is known to be down or its connection is
-# replaced, unless the reconnect budget is used up.
-BOUND_S = CFG.silence_max_s + 1.5 * CFG.ping_grace_s + 2 * CFG.open_timeout_s + 4 * TICK_S
+# Time for silence, ping, opening and two ticks. After it, a target is known to be down or its
+# connection is replaced, unless the reconnect budget is used up.
+DETECTION_BOUND_S = CFG.silence_max_s + 1.5 * CFG.ping_grace_s + 2 * CFG.open_timeout_s + 4 * TICK_S
 
 
 @attrs.define(eq=False)
 class SimTarget:
-    """A target with its monitor and its true state."""
+    """A simulated target with its monitor."""
 
     index: int
     share: int
@@ -49,7 +49,7 @@
     attempts: int = 0  # attempts to open that have no result yet
     attempts_made: int = 0
     down: bool = False
-    wrong_closes: int = 0
+    wrong_close_count: int = 0
 
 
 class Simulation:
@@ -97,9 +97,9 @@
                 case CloseConnection(conn_id=conn_id, reason=reason):
                     silent = target.conns.pop(conn_id)
                     if reason is CloseReason.SILENT and not silent and not target.frozen:
-                        target.wrong_closes += 1
+                        target.wrong_close_count += 1
                 case SendPing(conn_id=conn_id, ping_id=ping_id):
-                    self.post(NETWORK_S, lambda c=conn_id, p=ping_id: self.pong(target, c, p))
+                    self.post(NETWORK_DELAY_S, lambda c=conn_id, p=ping_id: self.pong(target, c, p))
                 case TargetDown():
                     assert not target.down
                     target.down = True
@@ -123,7 +123,7 @@
             target.conns[conn_id] = False
             self.execute(target, target.monitor.on_open(conn_id, self.now))
 
-        self.post(0.0 if target.refuses else NETWORK_S, finish)
+        self.post(0.0 if target.refuses else NETWORK_DELAY_S, finish)
 
     def pong(self, target, conn_id, ping_id):
         if target.frozen:
@@ -150,14 +150,14 @@
             target.conns[conn_id] = True
 
     def check_budget(self):
-        """Reconnects never exceed the bucket; the first connection of each target is free."""
+        """Check that reconnects stay in the budget; first connections do not count."""
         free = len(self.targets)
         window = [at for at in self.opens if at > self.now - 1.0]
         assert len(window) <= CFG.reconnect_burst + CFG.reconnects_per_s + free
 
 
 class MonitorMachine(RuleBasedStateMachine):
-    """Faults and load at arbitrary times."""
+    """State machine with faults and load at arbitrary times."""
 
     @initialize(seed=st.integers(0, 2**32), share=st.integers(1, 2))
     def begin(self, seed, share):
@@ -195,7 +195,7 @@
 
     @rule()
     def settle(self):
-        """Whatever happened, working targets end up with one working connection each."""
+        """Check that each target ends up with one working connection once all faults have ended."""
         sim = self.sim
         for target in sim.targets:
             target.frozen = target.refuses = False
@@ -216,8 +216,8 @@
 
 
 @given(st.integers(0, 2**32), st.integers(1, 2), st.booleans(), st.floats(0.0, 0.9))
-def test_each_cause_of_silence_is_found_within_the_bound(seed, share, busy, delay):
-    """Guards against mistaking slow, silent and dead targets for each other, or taking too long."""
+def test_each_cause_of_silence_is_detected_within_the_bound(seed, share, busy, delay):
+    """Guards against confusing slow, silent and dead targets, and against slow detection."""
     sim = Simulation(seed, 4, share)
     slow, silent, frozen, refusing = sim.targets
     sim.run_for(1.0 + delay)
@@ -229,17 +229,17 @@
         if busy:
             sim.send(target, 3.0)
     kept = next(iter(slow.conns))
-    sim.run_for((0 if busy else CFG.idle_ping_s) + BOUND_S)
-    assert refusing.attempts_made <= 5, "attempts become rarer"
-    assert not slow.down and list(slow.conns) == [kept] and not slow.wrong_closes
+    sim.run_for((0 if busy else CFG.idle_ping_s) + DETECTION_BOUND_S)
+    assert refusing.attempts_made <= 5, "attempts back off"
+    assert not slow.down and list(slow.conns) == [kept] and not slow.wrong_close_count
     assert not silent.down and list(silent.conns.values()) == [False]
     assert frozen.down and refusing.down
 
 
 @given(st.integers(0, 2**32), st.integers(1, 2))
 @settings(max_examples=30)
-def test_a_third_of_the_connections_going_silent_causes_no_storm(seed, share):
-    """Guards against a VM that opens connections to all targets at once."""
+def test_many_silent_connections_cause_no_reconnect_storm(seed, share):
+    """Guards against a VM that reconnects to all targets at once."""
     sim = Simulation(seed, 240, share)
     sim.run_for(1.0)
     silent = sim.targets[::3]
@@ -259,7 +259,7 @@
 @given(st.integers(0, 2**32), st.integers(1, 2))
 @settings(max_examples=10)
 def test_unreachable_targets_leave_reconnects_for_the_others(seed, share):
-    """Guards against targets behind a cut that use up the budget of the VM's own domain."""
+    """Guards against partitioned targets that use up the budget for those of the own domain."""
     sim = Simulation(seed, 150, share)
     sim.run_for(1.0)
     for target in sim.targets[:-10]:
@@ -269,7 +269,7 @@
     own = sim.targets[-1]
     sim.go_silent(own)
     sim.send(own, 1.0)
-    sim.run_for(BOUND_S)
+    sim.run_for(DETECTION_BOUND_S)
     assert not own.down and list(own.conns.values()) == [False]
 
 
@@ -277,8 +277,8 @@
     st.lists(st.tuples(st.floats(0.1, 20.0), st.integers(1, 20)), min_size=1, max_size=20),
     st.integers(1, 200),
 )
-def test_share_grows_late_and_shrinks_at_once(steps, limit):
-    """Guards against taking the places of VMs that were only just lost."""
+def test_share_grows_with_a_delay_and_shrinks_at_once(steps, limit):
+    """Guards against using the share of VMs that became unreachable only recently."""
     now = 0.0
     budget = ConnectionBudget(CFG, now)
     assert budget.share(limit, now) == 1
@@ -296,7 +296,7 @@
 
 @given(st.lists(st.floats(0.0, 1.0), max_size=200))
 def test_reconnect_budget_never_gives_more_than_burst_and_rate(pauses):
-    """Guards against a bucket that overflows after a pause."""
+    """Guards against a bucket that holds more than its burst after a pause."""
     budget = ReconnectBudget(10.0, 20, 0.0)
     now, taken = 0.0, 0
     for pause in pauses:
@@ -307,15 +307,15 @@
 
 
 def test_slot_share():
-    """Guards against a share of 0, with which a VM would never use a target."""
+    """Guards against a share of 0, which would keep a VM from using a target."""
     assert slot_share(4, 3, same_domain=True) == 1
     assert slot_share(9, 3, same_domain=True) == 3
     assert slot_share(2, 0, same_domain=True) == 2
     assert slot_share(9, 3, same_domain=False) == 1
 
 
-def test_a_silent_connection_is_found_although_its_requests_are_cancelled_early():
-    """Guards against a target ejected for its silent connection, since hedges always win there."""
+def test_a_silent_connection_is_detected_although_its_requests_are_cancelled_early():
+    """Guards against ejecting a target for a silent connection where hedges always win."""
     budget = ReconnectBudget.from_config(CFG, 0.0)
     monitor = ConnectionMonitor("t", CFG, budget, lambda: 2, Random(1), 0.0)
     monitor.tick(0.0)
@@ -331,7 +331,7 @@
 
 
 def test_a_connection_whose_requests_are_cancelled_stays_ready_while_it_answers_pings():
-    """Guards against work that is held, and connections opened, for a target that is only slow."""
+    """Guards against delayed requests and needless connections for a target that is only slow."""
     budget = ReconnectBudget.from_config(CFG, 0.0)
     monitor = ConnectionMonitor("t", CFG, budget, lambda: 2, Random(1), 0.0)
     monitor.tick(0.0)
--- a/tests/test_query_admission.py
+++ b/tests/test_query_admission.py
@@ -1,7 +1,7 @@
-"""Runs admission through arbitrary offers and releases.
+"""Tests of admission control, with a state machine of arbitrary offers and releases.
 
-Guards against places that leak, limits that are passed, requests that get no answer or two, and
-requests that are kept waiting past the time at which they could still be answered.
+Guards against leaked capacity, exceeded limits, requests that get no decision or more than one, and
+requests that stay queued although they can no longer meet their deadline.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Offers, releases, withdrawals and time."""
+    """State machine with offers, releases, withdrawals and time."""
 
     @initialize(seed=st.integers(0, 99))
     def set_up(self, seed: int) -> None:
@@ -36,7 +36,7 @@
         self.final: Counter[Ticket] = Counter()
         self.cut = False
 
-    def _take(self, actions: list) -> None:
+    def _apply(self, actions: list) -> None:
         for action in actions:
             ticket = action.ticket
             self.final[ticket] += 1
@@ -54,27 +54,27 @@
     @rule(
         priority=st.sampled_from(CLASSES),
         service=st.sampled_from(sorted(LIMITS)),
-        left=st.sampled_from([0.02, 0.2, 1.0, 10.0]),
+        remaining_s=st.sampled_from([0.02, 0.2, 1.0, 10.0]),
         count=st.integers(1, 8),
     )
-    def offer(self, priority: str, service: str, left: float, count: int) -> None:
+    def offer(self, priority: str, service: str, remaining_s: float, count: int) -> None:
         for _ in range(count):
             self.now += 1e-6
             most, queue = LIMITS[service]
-            ticket = Ticket(0, service, priority, self.now + left, most, queue)
+            ticket = Ticket(0, service, priority, self.now + remaining_s, most, queue)
             before = len([t for t in self.queued if t.priority == priority])
             actions = self.admission.offer(ticket, self.now)
             if not actions:
                 assert before < QUEUE_LIMIT
                 self.queued.append(ticket)
-            self._take(actions)
+            self._apply(actions)
 
     @rule(count=st.integers(1, 8), latency=st.sampled_from([0.01, 0.05, 0.4]), shed=st.booleans())
     def release(self, count: int, latency: float, shed: bool) -> None:
         self.now += latency / 4
         for _ in range(min(count, len(self.running))):
             ticket = self.running.pop(self.rng.randrange(len(self.running)))
-            self._take(self.admission.release(ticket, latency, shed, self.now))
+            self._apply(self.admission.release(ticket, latency, shed, self.now))
             assert self.admission.release(ticket, latency, shed, self.now) == []
 
     @rule()
@@ -89,11 +89,13 @@
         self.now += step
         due = self.admission.next_deadline()
         if due is not None and due <= self.now:
-            self._take(self.admission.tick(self.now))
-            assert all(ticket.deadline >= self.now for ticket in self.queued), "kept too long"
+            self._apply(self.admission.tick(self.now))
+            assert all(ticket.deadline >= self.now for ticket in self.queued), (
+                "queued past its deadline"
+            )
 
     @invariant()
-    def limits_hold(self) -> None:
+    def limits_are_kept(self) -> None:
         if not hasattr(self, "admission"):
             return
         assert self.admission.in_flight == len(self.running)
@@ -109,7 +111,7 @@
         assert due is None or due <= self.now + RECHECK_S
 
     @invariant()
-    def no_place_stays_empty(self) -> None:
+    def no_capacity_stays_unused(self) -> None:
         if not hasattr(self, "admission") or len(self.running) >= int(self.admission.limit.value):
             return
         waiting = {ticket.service for ticket in self.queued}
@@ -122,7 +124,7 @@
 
 
 def saturated(limit: int = 10, queue_limit: int = 10_000) -> tuple[Admission, list[Ticket]]:
-    """Return an admission whose places are all taken, with a known service time of 10 ms."""
+    """Return an admission at its limit, with a service time of 10 ms, and its running tickets."""
     admission = Admission(AdaptiveLimit(limit, limit), queue_limit)
     for _ in range(200):
         ticket = Ticket(0, "archivio", "normal", 1e9)
@@ -157,14 +159,14 @@
     assert 100 <= refusal.error.retry_after_ms <= 400  # 200 requests, 10 at once, 10 ms each
 
 
-def test_the_wait_takes_the_limit_of_the_service_into_account() -> None:
+def test_estimated_wait_includes_the_limit_of_the_service() -> None:
     admission, _ = saturated(limit=100)
     tickets = [Ticket(0, "preventivi", "normal", 0.1, max_concurrency=1) for _ in range(12)]
-    refused = [ticket for ticket in tickets if ticket_state(admission, ticket) == "refused"]
-    assert len(refused) in (2, 3)  # one at a time, 10 ms each, 100 ms left
+    refused = [ticket for ticket in tickets if state_after_offer(admission, ticket) == "refused"]
+    assert len(refused) in (2, 3)  # one at a time, 10 ms each, 100 ms to the deadline
 
 
-def ticket_state(admission: Admission, ticket: Ticket) -> str:
+def state_after_offer(admission: Admission, ticket: Ticket) -> str:
     admission.offer(ticket, 0.0)
     return ticket.state
 
@@ -195,8 +197,8 @@
     assert "long-term median" in limit.dump()["why"]
 
 
-def test_a_service_that_was_slow_is_tried_again() -> None:
-    """Guards against refusing a service for good because of the times of one bad moment."""
+def test_a_service_that_was_slow_is_probed() -> None:
+    """Guards against refusing a service for good because of a short period of high latency."""
     admission = Admission(AdaptiveLimit(10, 10), 10)
     for _ in range(20):
         ticket = Ticket(0, "archivio", "normal", 1e9)
@@ -211,10 +213,10 @@
     assert admission.offer(third := Ticket(0, "archivio", "normal", 1.0), 0.0) == [Admit(third)]
 
 
-def test_a_service_that_was_slow_is_tried_again_while_others_fill_the_vm() -> None:
-    """Guards against a service locked out while the VM is full, since only a run clears its times.
+def test_a_service_that_was_slow_is_probed_while_others_fill_the_vm() -> None:
+    """Guards against refusing a service while the VM is full, since only a run updates its latency.
 
-    The times must still hold back a request that has to queue shortly after another one ran.
+    Shortly after a request has run, its latency must still refuse one that has to queue.
     """
     admission = Admission(AdaptiveLimit(1, 1), 10)
     for service, latency_s in (("archivio", 5.0), ("fonderia", 0.01)) * 20:
@@ -231,8 +233,8 @@
     assert admission.release(holder, 0.01, False, 2.1) == [Admit(probe)]
 
 
-def test_a_service_that_alone_is_overloaded_is_limited_alone() -> None:
-    """Guards against one service whose targets stall and take the places of all others."""
+def test_only_the_overloaded_service_is_limited() -> None:
+    """Guards against a service with stalled targets that uses up the capacity of all others."""
     admission, now = Admission(AdaptiveLimit(32, 1024), 10), 0.0
 
     def load(seconds: float, stalled: set[str], latency_s: float = 0.01) -> None:
@@ -249,8 +251,8 @@
                 running.append((now + (1.0 if late else latency_s), late, ticket))
             for end in [end for end in running if end[0] <= now]:
                 running.remove(end)
-                left = admission.release(end[2], now - end[0] + latency_s, end[1], now)
-                running += [(now + latency_s, False, action.ticket) for action in left]
+                admitted = admission.release(end[2], now - end[0] + latency_s, end[1], now)
+                running += [(now + latency_s, False, action.ticket) for action in admitted]
 
     load(2.0, set())
     load(10.0, {"fonderia"})
@@ -259,13 +261,13 @@
     assert limits["limit_by_service"]["fonderia"]["limit"] < 10
     load(10.0, set(), latency_s=0.1)
     own = admission.dump(now)["limit_by_service"].get("fonderia", {"limit": 32})
-    assert own["limit"] > 5, "the own limit must not bind for good; 5 requests are in flight"
+    assert own["limit"] > 5, "the limit of the service must rise again; 5 requests are in flight"
     load(10.0, {"fonderia", "archivio"})
     assert admission.limit.value < 32, "overload of all services must lower the limit of the VM"
 
 
-def test_overload_of_many_services_is_not_taken_for_that_of_one() -> None:
-    """Guards against a VM that blames one service after the other and never lowers its limit."""
+def test_overload_of_many_services_is_not_attributed_to_one() -> None:
+    """Guards against limiting one service after another without lowering the limit of the VM."""
     limit, rng, now = AdaptiveLimit(100, 200), random.Random(1), 0.0
     for _ in range(4000):
         now += 0.005
--- a/tests/test_query_execution.py
+++ b/tests/test_query_execution.py
@@ -1,7 +1,7 @@
-"""Runs executions through arbitrary events against an oracle of what each answer may say.
+"""Tests of query executions with arbitrary events against an oracle of the allowed answers.
 
-Guards against answers that mix snapshots, untrue coverage, repeated non-idempotent work, errors
-that say "not run" without proof, hedges and retries beyond their budgets, and queries that hang.
+Guards against answers that mix snapshots, wrong coverage, repeated non-idempotent work, errors that
+report "not run" wrongly, hedges and retries beyond their budgets, and queries that hang.
 """
 
 from __future__ import annotations
@@ -50,19 +50,19 @@
     SUB_STATUS_DEADLINE: MissingReason.TIMEOUT,
 }
 BURST = 2.0
-FREE = {SUB_STATUS_SNAPSHOT_GONE, SUB_STATUS_LEAVING}
-PROOFS = {SUB_STATUS_SHED, *FREE}
+UNBUDGETED_STATUSES = {SUB_STATUS_SNAPSHOT_GONE, SUB_STATUS_LEAVING}
+NOT_RUN_STATUSES = {SUB_STATUS_SHED, *UNBUDGETED_STATUSES}
 
 
 @attrs.define(eq=False)
 class Sent:
-    """The oracle's view of one sub-request."""
+    """State of one sub-request in the oracle."""
 
     target_id: str
     request: SubRequest
     open: bool = True
-    proved: bool = False
-    free: bool = False
+    proved_not_run: bool = False
+    unbudgeted: bool = False
 
 
 class Oracle:
@@ -80,7 +80,7 @@
 
     def perform(self, actions: list, ending: MissingReason | None = None) -> None:
         for action in actions:
-            assert self.end is None, "an action came after the end"
+            assert self.end is None, "action after the end of the query"
             if isinstance(action, Dispatch):
                 self._on_dispatch(action)
             elif isinstance(action, CancelSub):
@@ -106,21 +106,25 @@
             self.reasons.clear()
         assert request.shard not in self.accepted
         if not self.idempotent:
-            assert all(item.proved for item in self.sent.values()), "it may run twice"
+            assert all(item.proved_not_run for item in self.sent.values()), (
+                "a non-idempotent request may run twice"
+            )
         siblings = [s for s in self.sent.values() if s.open and s.request.shard == request.shard]
         assert len(siblings) <= 1, "at most one hedge"
         assert action.target_id not in {s.target_id for s in siblings}
         self.sent[request.sub_id] = Sent(action.target_id, request)
 
     def _check_end(self, end: object, ending: MissingReason | None) -> None:
-        assert not any(item.open for item in self.sent.values()), "open work after the end"
+        assert not any(item.open for item in self.sent.values()), (
+            "sub-requests are open after the end"
+        )
         if isinstance(end, Finish):
             self._check_answer(end.answer, ending)
             return
-        proved = all(item.proved for item in self.sent.values())
-        assert (end.error.outcome is Outcome.NOT_RUN) == proved
-        if proved and not isinstance(end.error, Cancelled):
-            assert end.error.retry_after_ms > 0, "the caller is not told when to come back"
+        proved_not_run = all(item.proved_not_run for item in self.sent.values())
+        assert (end.error.outcome is Outcome.NOT_RUN) == proved_not_run
+        if proved_not_run and not isinstance(end.error, Cancelled):
+            assert end.error.retry_after_ms > 0, "the error has no retry-after"
 
     def _check_answer(self, answer, ending: MissingReason | None) -> None:
         req, coverage = self.execution.req, answer.coverage
@@ -155,7 +159,10 @@
             shard = sent.request.shard
             right = reply.shard == shard and reply.snapshot == sent.request.snapshot
             if reply.status in REFUSALS:
-                sent.proved, sent.free = reply.status in PROOFS, reply.status in FREE
+                sent.proved_not_run, sent.unbudgeted = (
+                    reply.status in NOT_RUN_STATUSES,
+                    reply.status in UNBUDGETED_STATUSES,
+                )
                 self.reasons[shard] = REFUSALS[reply.status]
             elif right:
                 self.accepted[shard] = reply
@@ -163,21 +170,21 @@
                 self.reasons[shard] = MissingReason.SNAPSHOT_MISMATCH
             self.perform(self.execution.on_reply(reply, now))
         else:
-            assert self.execution.on_reply(reply, now) == [], "a stale reply changed something"
+            assert self.execution.on_reply(reply, now) == [], "a stale reply caused actions"
 
     def on_failure(self, sub_id: int, reason: FailureReason, now: float) -> None:
         sent = self.sent[sub_id]
         if sent.open:
             sent.open = False
-            sent.proved = sent.free = reason is FailureReason.NOT_SENT
+            sent.proved_not_run = sent.unbudgeted = reason is FailureReason.NOT_SENT
             self.reasons[sent.request.shard] = MissingReason.FAILED
         self.perform(self.execution.on_failure(sub_id, reason, now))
 
 
-class World:
-    """Several executions on one policy, with targets that come, go and misbehave.
+class QuerySimulation:
+    """Several executions with one policy, whose targets join, leave and fail.
 
-    Every operation takes `pick`, which chooses one item of a sequence.
+    Every operation has a parameter `pick`, which chooses one item of a sequence.
     """
 
     def __init__(self, seed: int, plain: bool) -> None:
@@ -286,7 +293,7 @@
             if other is not oracle:
                 other.on_reply(reply_to(sent.request), self.now)
 
-    def lose(self, pick) -> None:
+    def fail_sub_request(self, pick) -> None:
         if picked := self._sent(pick, only_open=True):
             oracle, sent = picked
             oracle.on_failure(sent.request.sub_id, pick(list(FailureReason)), self.now)
@@ -326,24 +333,28 @@
         self.catalog.set_down(name, down, self.now)
 
     def check(self) -> None:
-        """Check what must hold after every operation."""
+        """Check the invariants that hold after every operation."""
         for oracle in self.oracles:
             due = oracle.execution.next_deadline()
             assert (due is None) == (oracle.end is not None)
             if oracle.end is None:
-                assert any(sent.open for sent in oracle.sent.values()), "it waits for nothing"
+                assert any(sent.open for sent in oracle.sent.values()), (
+                    "the query has no open sub-request"
+                )
         if self.oracles and not self.plain:
             counts = [oracle.execution.counts for oracle in self.oracles]
             first, hedges, retries, _ = (sum(column) for column in zip(*counts, strict=True))
             cfg = QueryConfig()
             assert hedges <= BURST + cfg.hedge_budget * first
-            # Only retries after an attempt that cost no target any work are outside the budget.
-            free = sum(sent.free for oracle in self.oracles for sent in oracle.sent.values())
-            assert retries <= BURST + cfg.retry_budget * first + free
+            # Retries after an attempt that caused no work at a target are outside the budget.
+            unbudgeted = sum(
+                sent.unbudgeted for oracle in self.oracles for sent in oracle.sent.values()
+            )
+            assert retries <= BURST + cfg.retry_budget * first + unbudgeted
         self._check_in_flight()
 
     def _check_in_flight(self) -> None:
-        """Guard against counts that leak and fill the limits of healthy targets for good."""
+        """Check that no in-flight count leaks, which would block a healthy target for good."""
         sent = [item for oracle in self.oracles for item in oracle.sent.values()]
         open_now = Counter(item.target_id for item in sent if item.open)
         for name, state in self.table.dump(self.now).get(SERVICE, {}).items():
@@ -351,41 +362,41 @@
 
 
 OPERATIONS = {
-    World.begin: 5,
-    World.reply: 6,
-    World.reply_to_most: 3,
-    World.wait: 4,
-    World.refuse: 2,
-    World.lose: 2,
-    World.duplicate_or_late_reply: 2,
-    World.reply_from_another_snapshot: 1,
-    World.foreign_reply: 1,
-    World.cancel: 1,
-    World.repartition: 1,
-    World.drop_old_snapshots: 1,
-    World.lose_target: 1,
-    World.mark_down: 1,
+    QuerySimulation.begin: 5,
+    QuerySimulation.reply: 6,
+    QuerySimulation.reply_to_most: 3,
+    QuerySimulation.wait: 4,
+    QuerySimulation.refuse: 2,
+    QuerySimulation.fail_sub_request: 2,
+    QuerySimulation.duplicate_or_late_reply: 2,
+    QuerySimulation.reply_from_another_snapshot: 1,
+    QuerySimulation.foreign_reply: 1,
+    QuerySimulation.cancel: 1,
+    QuerySimulation.repartition: 1,
+    QuerySimulation.drop_old_snapshots: 1,
+    QuerySimulation.lose_target: 1,
+    QuerySimulation.mark_down: 1,
 }
 
 
 class ExecutionMachine(RuleBasedStateMachine):
-    """Single operations that hypothesis can shrink, and storms of many for depth."""
+    """State machine of single operations, which shrink, and of long random sequences."""
 
     @initialize(seed=st.integers(0, 999), plain=st.sampled_from([False, False, False, True]))
     def set_up(self, seed: int, plain: bool) -> None:
-        self.world = World(seed, plain)
+        self.simulation = QuerySimulation(seed, plain)
 
     @rule(operation=st.sampled_from(list(OPERATIONS)), data=st.data())
     def step(self, operation, data) -> None:
-        operation(self.world, lambda items: data.draw(st.sampled_from(items)))
-        self.world.check()
+        operation(self.simulation, lambda items: data.draw(st.sampled_from(items)))
+        self.simulation.check()
 
     @rule(seed=st.integers(0, 2**32))
-    def storm(self, seed: int) -> None:
+    def run_random_sequence(self, seed: int) -> None:
         rng = random.Random(seed)
         for operation in rng.choices(list(OPERATIONS), list(OPERATIONS.values()), k=30):
-            operation(self.world, rng.choice)
-            self.world.check()
+            operation(self.simulation, rng.choice)
+            self.simulation.check()
 
 
 TestExecution = ExecutionMachine.TestCase
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away for a stated time, replayed on the choice of targets."""
+"""Tests of the choice of targets while targets hold back this VM."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def replay(shedding: set[str], rate: float, seconds: float = 10.0) -> dict[str, list[float]]:
-    """Send requests at a rate; shedding targets answer each with a hold. Return the arrivals."""
+    """Send requests at a rate and return the arrivals; shedding targets refuse with a hold."""
     table = ReplicaTable("a", random.Random(3), warmup_s=0.0)
     table.update(SERVICE, records(), 0.0)
     arrivals: dict[str, list[float]] = {f"t{d}": [] for d in "abc"}
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize("rate", [1.0, 20.0, 200.0])
 @pytest.mark.parametrize("shedding", [{"ta"}, {"ta", "tb"}, {"ta", "tb", "tc"}])
-def test_a_majority_of_shedding_targets_gets_nothing_before_its_time(rate, shedding):
-    """Load pattern: a majority of a shard's targets shed everything and say for how long.
+def test_a_majority_of_shedding_targets_gets_no_request_during_its_hold(rate, shedding):
+    """A majority of the targets of a shard shed all sub-requests and refuse with a hold.
 
-    Neither the floor under ejected targets nor the last choice may go to one of them.
+    Neither the limit on ejections nor the fallback to ejected targets may choose one of them.
     """
     arrivals = replay(shedding, rate)
     for target in shedding:
@@ -61,38 +61,38 @@
         assert answered == int(10 * rate), "every request is answered"
 
 
-def test_of_several_holds_the_latest_end_counts():
+def test_the_hold_that_ends_last_is_in_force():
     holds = Holds(lambda: 0.0)
     assert holds.add("t", 1, 2.0, 10.0) == 12.0
     assert holds.add("t", 1, 0.5, 10.1) == 12.0
     assert holds.add("t", 1, 3.0, 10.2) == 13.2
 
 
-@pytest.mark.parametrize("wrong", [math.nan, math.inf, -math.inf, -1.0])
-def test_what_is_no_duration_changes_nothing(wrong):
+@pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0])
+def test_an_invalid_duration_is_ignored(invalid):
     holds = Holds(random.random)
-    assert holds.add("t", 1, wrong, 10.0) == 0.0
+    assert holds.add("t", 1, invalid, 10.0) == 0.0
     until = holds.add("t", 1, 2.0, 10.0)
-    assert holds.add("t", 1, wrong, 10.5) == until
+    assert holds.add("t", 1, invalid, 10.5) == until
 
 
-def test_a_hold_of_years_ends_after_an_hour():
+def test_a_long_hold_is_capped():
     assert Holds(lambda: 0.0).add("t", 1, 1e9, 10.0) == 10.0 + MAX_HOLD_S
 
 
-def test_a_hold_is_for_one_incarnation_and_outlives_what_is_known_of_the_target():
+def test_a_hold_is_for_one_incarnation_and_outlives_the_removal_of_the_target():
     table = ReplicaTable("a", random.Random(3), warmup_s=0.0)
     table.update(SERVICE, records(), 0.0)
     table.hold("ta", 1, HOLD_S, 0.0)
     table.update(SERVICE, records()[1:], 0.1)
-    table.hold("ta", 1, 2 * HOLD_S, 0.1)  # its answer comes while it is unknown
+    table.hold("ta", 1, 2 * HOLD_S, 0.1)  # the refusal arrives while the target is unknown
     table.update(SERVICE, records(), 0.2)
     assert table.held_until("ta") >= 2 * HOLD_S
     table.update(SERVICE, records(incarnation=2), 0.3)
     assert table.held_until("ta") == 0.0
 
 
-def test_several_vms_do_not_return_together():
+def test_vms_do_not_resume_at_the_same_time():
     ends = {Holds(random.Random(seed).random).add("t", 1, 2.0, 0.0) for seed in range(20)}
     assert len(ends) == 20 and all(2.0 <= end <= 2.0 * (1 + RETURN_SPREAD) for end in ends)
 
@@ -110,11 +110,11 @@
     return policy
 
 
-def test_callers_of_a_service_that_is_held_back_return_spread_after_the_first_end():
+def test_callers_of_a_held_service_get_spread_retry_after_times():
     policy = held_policy()
     assert policy.choose(SERVICE, (), 1.0) is None
-    assert not policy.has_targets(SERVICE, (), 1.0), "a request does not wait for them"
-    assert policy.is_served(SERVICE), "the VM is not cut off from them"
-    returns_s = {policy.return_after([SERVICE], 1, 1.0) for _ in range(20)}
-    assert len(returns_s) == 20 and min(returns_s) >= 1.0
+    assert not policy.has_targets(SERVICE, (), 1.0), "a request does not wait for held targets"
+    assert policy.is_served(SERVICE), "the targets are reachable"
+    retry_after_s = {policy.return_after([SERVICE], 1, 1.0) for _ in range(20)}
+    assert len(retry_after_s) == 20 and min(retry_after_s) >= 1.0
     assert policy.choose(SERVICE, (), 2.3) == "tb"
--- a/tests/test_query_replicas.py
+++ b/tests/test_query_replicas.py
@@ -1,7 +1,7 @@
-"""Checks the choice of replicas and of the snapshot.
+"""Tests of the choice of replicas and of the snapshot.
 
-Guards against ejecting too many replicas, work for targets that are leaving or at their limit, a
-cold target that gets a full share at once, and a snapshot that is not the best one.
+Guards against ejecting too many replicas, sub-requests to targets that are leaving or at their
+limit, full load on a new target, and the choice of a worse snapshot than the best available one.
 """
 
 from __future__ import annotations
@@ -63,10 +63,10 @@
     assert None not in used
     assert healthy <= used
     if up:
-        assert not used & lost, "a target that is down is only a last choice"
+        assert not used & lost, "a target that is down is used only if no other is left"
     if len(lost | failing) <= copies // 2:
         assert used == healthy
-    if up and not healthy:  # equal scores: every replica that is not ejected gets work
+    if up and not healthy:  # equal scores: every replica that is not ejected is used
         assert len(used) == len(up) - max(0, copies // 2 - len(lost))
 
 
@@ -77,7 +77,7 @@
     assert chosen(table, 1.1) == {"t0": 300}
 
 
-def test_ejection_ends_and_grows() -> None:
+def test_ejection_ends_and_the_next_one_is_longer() -> None:
     table = table_of(4)
     fail(table, "t0", 1.0)
     assert "t0" not in chosen(table, 1.9)
@@ -88,7 +88,7 @@
     assert "t0" in chosen(table, 4.2)
 
 
-def test_own_domain_first_then_others_when_short() -> None:
+def test_other_domains_are_used_only_when_the_own_domain_is_at_its_limit() -> None:
     table = table_of(3, "abc", slots=2)
     assert chosen(table, 1.0) == {"t0": 300}
     for _ in range(2):
@@ -128,7 +128,7 @@
 
 
 def test_a_target_that_moves_to_another_service_stays_known_there() -> None:
-    """Guards against a service that is never updated again, and work that is not counted."""
+    """Guards against a service whose targets are no longer updated, and uncounted sub-requests."""
     table = table_of(2)
     moved = record("t0", [(SNAP, 0)], incarnation=2)
     table.update("preventivi", [moved], 1.0)
@@ -139,17 +139,17 @@
     assert [t.target_id for t in table.replicas("preventivi", SNAP, 0)] == ["t0", "t2"]
 
 
-def test_a_leaving_target_gets_no_work_until_it_starts_anew() -> None:
+def test_a_leaving_target_gets_no_sub_request_until_it_restarts() -> None:
     table = table_of(2)
     table.on_sent("t0", 1.0)
     table.on_gone(SERVICE, "t0", None, 0, 1.0)
     assert chosen(table, 1.0, ("t1",)) == {None: 300}
     held = [(SNAP, 0)]
-    again = [record("t0", held, sequence=2), record("t1", held)]
-    table.update(SERVICE, again, 2.0)
+    new_records = [record("t0", held, sequence=2), record("t1", held)]
+    table.update(SERVICE, new_records, 2.0)
     assert chosen(table, 2.0, ("t1",)) == {None: 300}
-    again[0] = record("t0", held, incarnation=2)
-    table.update(SERVICE, again, 3.0)
+    new_records[0] = record("t0", held, incarnation=2)
+    table.update(SERVICE, new_records, 3.0)
     assert chosen(table, 60.0, ("t1",)) == {"t0": 300}
 
 
@@ -180,20 +180,20 @@
             }
         )
 
-    everyone, up = set(replicas), set(replicas) - down
+    all_targets, up = set(replicas), set(replicas) - down
     known = [Snapshot(v, n) for v in (1, 2, 3) for n in (1, 2) if not pinned or v == pinned]
-    by_rule = [
+    by_preference = [
         [snap for snap in known if shards(snap, up) == snap.shard_count],
-        [snap for snap in known if shards(snap, everyone) == snap.shard_count],
+        [snap for snap in known if shards(snap, all_targets) == snap.shard_count],
     ]
-    expected = next((max(snaps) for snaps in by_rule if snaps), None)
+    expected = next((max(snaps) for snaps in by_preference if snaps), None)
     if expected is None:
-        most, best = max((shards(snap, everyone), snap) for snap in known)
+        most, best = max((shards(snap, all_targets), snap) for snap in known)
         expected = best if most else None
     assert catalog.choose(SERVICE, pinned, 0.0) == expected
 
 
-def test_a_late_record_of_a_leaving_target_does_not_bring_its_shards_back() -> None:
+def test_a_late_record_of_a_leaving_target_does_not_restore_its_replicas() -> None:
     catalog, held = SnapshotCatalog(), [(SNAP, 0)]
     catalog.update(SERVICE, [record("t0", held)], 0.0)
     catalog.mark_gone(SERVICE, "t0", None, 0, 0.0)
@@ -204,7 +204,7 @@
     assert catalog.choose(SERVICE, 0, 0.0) == SNAP
 
 
-def test_a_disowned_replica_stays_away_until_it_is_announced_anew() -> None:
+def test_a_removed_replica_stays_removed_until_the_record_changes() -> None:
     catalog, old, new = SnapshotCatalog(), Snapshot(1, 2), Snapshot(2, 2)
     records = [*grid(old, 2), record("n0", [(new, 0)]), record("n1", [(new, 1)])]
     catalog.update(SERVICE, records, 0.0)
--- a/tests/test_query_retry.py
+++ b/tests/test_query_retry.py
@@ -1,4 +1,4 @@
-"""Which target a retry goes to after connections were lost."""
+"""Tests of the target of a retry after connections were lost."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
     return [action for action in actions if isinstance(action, Dispatch)]
 
 
-def test_a_cut_that_takes_first_and_hedge_leaves_the_retry_for_the_third_target():
-    """Guards against giving a shard up while a replica that was never asked is well.
+def test_a_retry_goes_to_the_third_target_after_a_partition_lost_first_and_hedge():
+    """Guards against a missing shard while an untried replica is healthy.
 
-    The case of a domain that is cut off while its own targets warm up: the first sub-request and
-    its hedge go to other domains, and a cut loses both connections at once.
+    A domain is partitioned while its own targets warm up. The first sub-request and its hedge go
+    to other domains, and the partition breaks both connections at once.
     """
     execution, actions = begin("abc")
     [first] = dispatched(actions)
@@ -63,7 +63,7 @@
     assert isinstance(end, Finish)
 
 
-def test_the_only_target_is_asked_again_after_its_connection_was_lost():
+def test_the_only_target_is_retried_after_its_connection_was_lost():
     execution, actions = begin("a")
     [first] = dispatched(actions)
     actions = execution.on_failure(first.request.sub_id, FailureReason.CONNECTION_LOST, 0.9)
--- a/tests/test_query_slow_local.py
+++ b/tests/test_query_slow_local.py
@@ -1,4 +1,4 @@
-"""A slow or half-failing target of the own failure domain, replayed on the replica choice."""
+"""Tests of the replica choice with a slow or partly failing target of the own domain."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def replay(slow_s: float, requests: int = 400, rate: float = 10.0) -> tuple[float, float]:
-    """Send requests one after the other; return the share of slow and of remote ones.
+    """Send sequential requests; return the shares of slow and of remote ones.
 
-    One request in 12 has a hedge at another target, which is how those get observations.
+    One request in 12 is hedged at another target, which gives observations of the others.
     """
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=3) for d in "abc"]
@@ -38,19 +38,19 @@
     return slow / requests, remote / requests
 
 
-def test_a_slow_local_target_is_passed_over_but_looked_at_again():
+def test_a_slow_local_target_is_avoided_but_tried_again():
     slow, _ = replay(SLOW_S)
     assert 0.02 < slow < 0.2
 
 
-def test_a_slow_local_target_is_passed_over_by_a_vm_with_few_requests():
-    """Load pattern: many VMs share the load, so that each asks a shard about once a second."""
+def test_a_slow_local_target_is_avoided_by_a_vm_with_few_requests():
+    """Many VMs share the load, so each VM queries a shard only about once a second."""
     slow, _ = replay(SLOW_S, requests=60, rate=0.8)
     assert 0.02 < slow < 0.35
 
 
-def test_single_pauses_do_not_send_a_vm_with_few_requests_elsewhere():
-    """Load pattern: each target pauses for 0.2 s now and then, at about one request a second."""
+def test_single_pauses_cause_no_remote_requests_of_a_vm_with_few_requests():
+    """Each target sometimes pauses for 0.2 s, at about one request per second."""
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=3) for d in "abc"]
     table.update(SERVICE, records, 0.0)
@@ -68,13 +68,13 @@
 
 
 def test_equal_targets_are_chosen_in_the_own_domain():
-    """Bytes between failure domains cost, so ordinary differences do not leave the domain."""
+    """Traffic between domains is expensive, so ordinary differences must not cause it."""
     _, remote = replay(USUAL_S)
     assert remote == 0.0
 
 
 def count_sheds(requests: int, rate: float, seed: int = 7) -> int:
-    """Send requests to a shard whose local target sheds half of them; return how many it shed."""
+    """Return how many requests are shed if the local target of a shard sheds half of them."""
     rng = random.Random(seed)
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=3) for d in "abc"]
@@ -95,24 +95,24 @@
     return shed
 
 
-def test_a_local_target_that_sheds_half_of_its_requests_is_passed_over():
-    """Load pattern: a target refuses part of its requests while its health is good."""
+def test_a_local_target_that_sheds_half_of_its_requests_is_avoided():
+    """A target sheds part of its requests while it is otherwise healthy."""
     assert count_sheds(400, 10.0) / 400 < 0.1
 
 
-def test_a_vm_with_few_requests_passes_a_shedding_target_over_at_once():
-    """Load pattern: as above for some seconds, and each VM asks a shard once a second."""
+def test_a_vm_with_few_requests_avoids_a_shedding_target_at_once():
+    """As above for some seconds, with about one request per second."""
     mean = sum(count_sheds(12, 0.8, seed) for seed in range(400)) / 400
-    assert mean < 12 / 5, "each target sheds half, and one request in five is to be shed at most"
+    assert mean < 12 / 5, "the target sheds half; at most one request in five may be shed"
 
 
-def test_a_target_that_turned_slow_is_tried_less_and_less_often_until_it_recovers():
-    """Load pattern: many shards have a slow target, and each trial holds up a whole request."""
+def test_a_slow_target_is_tried_less_often_until_it_recovers():
+    """Many shards have a slow target, and each trial of one delays a whole request."""
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=3) for d in "abc"]
     table.update(SERVICE, records, 0.0)
     slow_from, slow_until, rate = 5.0, 20.0, 15.0
-    trials, back_at = 0, None
+    trials, recovered_at = 0, None
     for number in range(int(40 * rate)):
         now = number / rate
         if number % 12 == 0:
@@ -122,19 +122,19 @@
         target = table.choose(SERVICE, ONE_SHARD, 0, (), now)
         slow = target == "ta" and slow_from <= now < slow_until
         trials += slow and now > slow_from + 1.0
-        if target == "ta" and now >= slow_until and back_at is None:
-            back_at = now
+        if target == "ta" and now >= slow_until and recovered_at is None:
+            recovered_at = now
         table.on_sent(target, now)
         table.on_reply(target, SLOW_S if slow else USUAL_S, now)
-    assert trials <= 4, "after 1, 2, 4 and 8 s; once a second without the growing time"
-    assert back_at - slow_until <= REPROBE_MAX_S + 1.0
+    assert trials <= 4, "trials after 1, 2, 4 and 8 s; without back-off there is one per second"
+    assert recovered_at - slow_until <= REPROBE_MAX_S + 1.0
 
 
-def test_requests_side_by_side_stay_in_the_own_domain():
-    """Load pattern: several requests at once, as many as the local target has slots.
+def test_concurrent_requests_stay_in_the_own_domain():
+    """The VM sends as many concurrent requests as the local target has slots.
 
-    Bytes between failure domains are dear, and a free slot answers as fast as an idle target. The
-    local target is somewhat slower than the others, as targets of a service are.
+    Traffic between domains is expensive, and a free slot answers as fast as an idle target. The
+    local target is slightly slower than the others, which is usual among targets of a service.
     """
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=2) for d in "abc"]
@@ -156,8 +156,8 @@
     assert remote == 0
 
 
-def test_a_local_target_that_pauses_with_requests_in_flight_is_passed_over():
-    """Load pattern: a target pauses for 0.1 s; what comes meanwhile would wait for its end."""
+def test_a_local_target_that_pauses_with_requests_in_flight_is_avoided():
+    """A target pauses for 0.1 s; requests sent to it in that time would wait for the end."""
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=4) for d in "abc"]
     table.update(SERVICE, records, 0.0)
@@ -169,8 +169,8 @@
     assert table.choose(SERVICE, ONE_SHARD, 0, (), 1.0 + 4 * USUAL_S) != "ta"
 
 
-def test_single_failures_do_not_send_requests_elsewhere():
-    """Load pattern: each target garbles one answer in twenty, all of them alike."""
+def test_single_failures_cause_no_remote_requests():
+    """Each target fails one reply in twenty, all at the same rate."""
     table = ReplicaTable("a", random.Random(5), warmup_s=0.0)
     records = [record(f"t{d}", [(ONE_SHARD, 0)], domain=d, slots=3) for d in "abc"]
     table.update(SERVICE, records, 0.0)
