--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -147,21 +147,21 @@
     def cancel(self, sub: PoolSub, *, overtaken: bool) -> None:
         """Cancel a sub-request; a superseded one may still finish within `LINGER_S`.
 
-        The listener receives `on_given_up`, preceded by `on_late` if a response arrives.
+        The listener receives `on_cancel_completed`, preceded by `on_late` if a response arrives.
         """
         conn = sub.conn
         if conn is None or self._sub_by_conn.get(conn) is not sub:
             return
         if not sub.sent:
             del self._sub_by_conn[conn]  # the connection becomes idle once it is open
-            sub.listener.on_given_up(sub, Ending.CANCELLED)
+            sub.listener.on_cancel_completed(sub, Ending.CANCELLED)
         elif overtaken:
             sub.linger_until = self._clock() + LINGER_S
             self._lingering.add(sub)
         else:
             del self._sub_by_conn[conn]
             conn.close()
-            sub.listener.on_given_up(sub, Ending.CANCELLED)
+            sub.listener.on_cancel_completed(sub, Ending.CANCELLED)
 
     def tick(self) -> None:
         """Enforce the timeouts, and connect to targets that are down or silent."""
@@ -170,7 +170,7 @@
             self._lingering.discard(sub)
             self._sub_by_conn.pop(sub.conn, None)
             sub.conn.close()
-            sub.listener.on_given_up(sub, Ending.SILENT)
+            sub.listener.on_cancel_completed(sub, Ending.SILENT)
         for conn, opened_at in list(self._connecting_since.items()):
             if now - opened_at >= CONNECT_TIMEOUT_S:
                 conn.close()
@@ -246,7 +246,7 @@
         if sub.linger_until is not None:
             self._lingering.discard(sub)
             sub.listener.on_late(sub, response)
-            sub.listener.on_given_up(sub, Ending.ANSWERED)
+            sub.listener.on_cancel_completed(sub, Ending.ANSWERED)
             self._make_idle(conn)
             return
         # The connection is released before the listener is called, which may send on it.
@@ -279,7 +279,7 @@
             return
         if sub.linger_until is not None:
             self._lingering.discard(sub)
-            sub.listener.on_given_up(sub, Ending.SILENT)
+            sub.listener.on_cancel_completed(sub, Ending.SILENT)
         else:
             sub.listener.on_lost(sub, sent=sub.sent, garbled=garbled)
 
--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -51,9 +51,9 @@
         """Handle a sub-request that ended without a complete response."""
 
     def on_late(self, sub: PoolSub, response: Any) -> None:
-        """Handle the response to a cancelled sub-request; `on_given_up` follows."""
+        """Handle the response to a cancelled sub-request; `on_cancel_completed` follows."""
 
-    def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
         """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -329,12 +329,12 @@
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
-    def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
         """Take note that a cancelled sub-request occupies its target no more."""
         now = self._clock()
         latency_s = now - sub.started if ending is Ending.ANSWERED else None
         silent = ending is Ending.SILENT
-        self._targets.policy.on_given_up(sub.target_id, latency_s, now, silent=silent)
+        self._targets.policy.on_cancel_completed(sub.target_id, latency_s, now, silent=silent)
 
     def _note_failure(self, call: Call, sub: PoolSub, reason: str) -> None:
         self._metrics.incr("entry.sub_failures")
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -218,7 +218,7 @@
         """
         self._latency(route).record(elapsed_s)
 
-    def on_given_up(
+    def on_cancel_completed(
         self, target_id: str, latency_s: float | None, now: float, *, silent: bool
     ) -> None:
         """Count that a cancelled sub-request occupies its target no more.
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -78,7 +78,7 @@
     def on_late(self, sub, response):
         self.events.append(("late", sub.sub_id))
 
-    def on_given_up(self, sub, ending):
+    def on_cancel_completed(self, sub, ending):
         self.events.append((ending, sub.sub_id))
 
 
