--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from bramleycrank.connections.http_types import Connection, Ending, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, Connection, PoolSub
 
 CONNECT_TIMEOUT_S = 0.5
 """Timeout for opening a connection; a SYN that a target at its limit drops is resent after 1 s."""
@@ -154,14 +154,14 @@
             return
         if not sub.sent:
             del self._sub_by_conn[conn]  # the connection becomes idle once it is open
-            sub.listener.on_cancel_completed(sub, Ending.CANCELLED)
+            sub.listener.on_cancel_completed(sub, CancelOutcome.CANCELLED)
         elif overtaken:
             sub.linger_until = self._clock() + LINGER_S
             self._lingering.add(sub)
         else:
             del self._sub_by_conn[conn]
             conn.close()
-            sub.listener.on_cancel_completed(sub, Ending.CANCELLED)
+            sub.listener.on_cancel_completed(sub, CancelOutcome.CANCELLED)
 
     def tick(self) -> None:
         """Enforce the timeouts, and connect to targets that are down or silent."""
@@ -170,7 +170,7 @@
             self._lingering.discard(sub)
             self._sub_by_conn.pop(sub.conn, None)
             sub.conn.close()
-            sub.listener.on_cancel_completed(sub, Ending.SILENT)
+            sub.listener.on_cancel_completed(sub, CancelOutcome.SILENT)
         for conn, opened_at in list(self._connecting_since.items()):
             if now - opened_at >= CONNECT_TIMEOUT_S:
                 conn.close()
@@ -246,7 +246,7 @@
         if sub.linger_until is not None:
             self._lingering.discard(sub)
             sub.listener.on_late(sub, response)
-            sub.listener.on_cancel_completed(sub, Ending.ANSWERED)
+            sub.listener.on_cancel_completed(sub, CancelOutcome.ANSWERED)
             self._make_idle(conn)
             return
         # The connection is released before the listener is called, which may send on it.
@@ -279,7 +279,7 @@
             return
         if sub.linger_until is not None:
             self._lingering.discard(sub)
-            sub.listener.on_cancel_completed(sub, Ending.SILENT)
+            sub.listener.on_cancel_completed(sub, CancelOutcome.SILENT)
         else:
             sub.listener.on_lost(sub, sent=sub.sent, garbled=garbled)
 
--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -30,7 +30,7 @@
         """Close the connection immediately."""
 
 
-class Ending(enum.Enum):
+class CancelOutcome(enum.Enum):
     """Outcome of a cancelled sub-request."""
 
     ANSWERED = enum.auto()  # the target answered after the cancellation
@@ -53,7 +53,7 @@
     def on_late(self, sub: PoolSub, response: Any) -> None:
         """Handle the response to a cancelled sub-request; `on_cancel_completed` follows."""
 
-    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
         """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
--- a/bramleycrank/daemon/entry_call.py
+++ b/bramleycrank/daemon/entry_call.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from bramleycrank.connections.http_types import Ending, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, PoolSub
 from bramleycrank.daemon.entry_types import CallerMeta
 from bramleycrank.scatter import ScatterExecution
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
@@ -40,7 +40,7 @@
     def on_late(self, call: Call, sub: PoolSub, response: Response) -> None:
         """Take the response to a cancelled sub-request."""
 
-    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
         """Take note that a cancelled sub-request occupies its target no more."""
 
 
@@ -65,6 +65,6 @@
         """Take the response to a cancelled sub-request."""
         self._controller.on_late(self._call, sub, response)
 
-    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
         """Take the end of a cancelled sub-request."""
         self._controller.on_cancel_completed(sub, ending)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from bramleycrank.connections.http_types import Ending, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, PoolSub
 from bramleycrank.daemon.entry_answers import missing_services, render
 from bramleycrank.daemon.entry_call import Call, CallListener
 from bramleycrank.daemon.entry_targets import EntryTargets, Targets
@@ -329,11 +329,11 @@
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
-    def on_cancel_completed(self, sub: PoolSub, ending: Ending) -> None:
+    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
         """Take note that a cancelled sub-request occupies its target no more."""
         now = self._clock()
-        latency_s = now - sub.started if ending is Ending.ANSWERED else None
-        silent = ending is Ending.SILENT
+        latency_s = now - sub.started if ending is CancelOutcome.ANSWERED else None
+        silent = ending is CancelOutcome.SILENT
         self._targets.policy.on_cancel_completed(sub.target_id, latency_s, now, silent=silent)
 
     def _note_failure(self, call: Call, sub: PoolSub, reason: str) -> None:
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -6,7 +6,7 @@
     CONNECT_TIMEOUT_S,
     LINGER_S,
     SILENCE_S,
-    Ending,
+    CancelOutcome,
     HttpPool,
     PoolSub,
 )
@@ -162,7 +162,9 @@
     fixture.conns[0].open()
     fixture.pool.cancel(sub, overtaken=True)
     fixture.conns[0].answer()
-    assert fixture.events == [("late", 1), (Ending.ANSWERED, 1)] and not fixture.conns[0].closed
+    assert (
+        fixture.events == [("late", 1), (CancelOutcome.ANSWERED, 1)] and not fixture.conns[0].closed
+    )
 
 
 def test_a_superseded_request_without_an_answer_ends_with_its_connection():
@@ -173,7 +175,7 @@
     fixture.run(0.3)
     fixture.conns[1].open()  # the target is reachable
     fixture.run(LINGER_S)
-    assert (Ending.SILENT, 1) in fixture.events and fixture.conns[0].closed
+    assert (CancelOutcome.SILENT, 1) in fixture.events and fixture.conns[0].closed
 
 
 def test_a_cancelled_request_stops_the_target_at_once():
@@ -181,7 +183,7 @@
     sub = fixture.send(1)
     fixture.conns[0].open()
     fixture.pool.cancel(sub, overtaken=False)
-    assert fixture.conns[0].closed and fixture.events == [(Ending.CANCELLED, 1)]
+    assert fixture.conns[0].closed and fixture.events == [(CancelOutcome.CANCELLED, 1)]
 
 
 def test_a_removed_target_finishes_its_requests_and_gets_no_more():
