--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from bramleycrank.connections.http_types import CancelOutcome, Connection, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, Connection, PooledSubRequest
 
 CONNECT_TIMEOUT_S = 0.5
 """Timeout for opening a connection; a SYN that a target at its limit drops is resent after 1 s."""
@@ -82,10 +82,10 @@
         self._on_down = on_down
         self._clock = clock
         self._targets: dict[str, _Target] = {}
-        self._sub_by_conn: dict[Connection, PoolSub] = {}
+        self._sub_by_conn: dict[Connection, PooledSubRequest] = {}
         self._target_by_conn: dict[Connection, _Target] = {}
         self._connecting_since: dict[Connection, float] = {}
-        self._lingering: set[PoolSub] = set()
+        self._lingering: set[PooledSubRequest] = set()
         self.opened = 0
 
     # Targets.
@@ -125,7 +125,7 @@
 
     # Sub-requests.
 
-    def send(self, sub: PoolSub) -> None:
+    def send(self, sub: PooledSubRequest) -> None:
         """Send a sub-request on an idle connection or on a new one."""
         target = self._targets.get(sub.target_id)
         if target is None:
@@ -144,7 +144,7 @@
                 del self._sub_by_conn[conn]  # the connection becomes idle once it is open
                 sub.listener.on_lost(sub, sent=False, garbled=False)
 
-    def cancel(self, sub: PoolSub, *, overtaken: bool) -> None:
+    def cancel(self, sub: PooledSubRequest, *, overtaken: bool) -> None:
         """Cancel a sub-request; a superseded one may still finish within `LINGER_S`.
 
         The listener receives `on_cancel_completed`, preceded by `on_late` if a response arrives.
@@ -215,7 +215,7 @@
         self._connecting_since[conn] = self._clock()
         return conn
 
-    def _transmit(self, sub: PoolSub) -> None:
+    def _transmit(self, sub: PooledSubRequest) -> None:
         sub.sent = True
         sub.sent_at = self._clock()
         sub.conn.send(sub.encode(), head=sub.head)
--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -41,24 +41,24 @@
 class SubListener(Protocol):
     """Listener for the end of a sub-request; exactly one call ends it."""
 
-    def on_response(self, sub: PoolSub, response: Any) -> bool:
+    def on_response(self, sub: PooledSubRequest, response: Any) -> bool:
         """Handle a response; return whether it belongs to the request.
 
         If it does not, the connection is closed, since later responses would not match either.
         """
 
-    def on_lost(self, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
+    def on_lost(self, sub: PooledSubRequest, *, sent: bool, garbled: bool) -> None:
         """Handle a sub-request that ended without a complete response."""
 
-    def on_late(self, sub: PoolSub, response: Any) -> None:
+    def on_late(self, sub: PooledSubRequest, response: Any) -> None:
         """Handle the response to a cancelled sub-request; `on_cancel_completed` follows."""
 
-    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
         """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
 @attrs.define(eq=False)
-class PoolSub:
+class PooledSubRequest:
     """A sub-request that was handed to the pool.
 
     Parameters
--- a/bramleycrank/daemon/entry_call.py
+++ b/bramleycrank/daemon/entry_call.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from bramleycrank.connections.http_types import CancelOutcome, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, PooledSubRequest
 from bramleycrank.daemon.entry_types import CallerMeta
 from bramleycrank.scatter import ScatterExecution
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
@@ -21,7 +21,7 @@
     meta: CallerMeta
     execution: ScatterExecution
     template: RequestTemplate | None = None
-    subs: dict[int, PoolSub] = attrs.field(factory=dict)
+    subs: dict[int, PooledSubRequest] = attrs.field(factory=dict)
     timer: asyncio.TimerHandle | None = None
     timer_at: float = 0.0
     sends: int = 0
@@ -31,16 +31,16 @@
 class SubEnds(Protocol):
     """Hears of the ends of all requests' sub-requests."""
 
-    def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
+    def on_response(self, call: Call, sub: PooledSubRequest, response: Response) -> bool:
         """Take a response; return whether it belongs to the request."""
 
-    def on_lost(self, call: Call, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
+    def on_lost(self, call: Call, sub: PooledSubRequest, *, sent: bool, garbled: bool) -> None:
         """Take the loss of a response."""
 
-    def on_late(self, call: Call, sub: PoolSub, response: Response) -> None:
+    def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
         """Take the response to a cancelled sub-request."""
 
-    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
         """Take note that a cancelled sub-request occupies its target no more."""
 
 
@@ -53,18 +53,18 @@
         self._controller = controller
         self._call = call
 
-    def on_response(self, sub: PoolSub, response: Response) -> bool:
+    def on_response(self, sub: PooledSubRequest, response: Response) -> bool:
         """Take a response."""
         return self._controller.on_response(self._call, sub, response)
 
-    def on_lost(self, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
+    def on_lost(self, sub: PooledSubRequest, *, sent: bool, garbled: bool) -> None:
         """Take the loss of a response."""
         self._controller.on_lost(self._call, sub, sent=sent, garbled=garbled)
 
-    def on_late(self, sub: PoolSub, response: Response) -> None:
+    def on_late(self, sub: PooledSubRequest, response: Response) -> None:
         """Take the response to a cancelled sub-request."""
         self._controller.on_late(self._call, sub, response)
 
-    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
         """Take the end of a cancelled sub-request."""
         self._controller.on_cancel_completed(sub, ending)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from bramleycrank.connections.http_types import CancelOutcome, PoolSub
+from bramleycrank.connections.http_types import CancelOutcome, PooledSubRequest
 from bramleycrank.daemon.entry_answers import missing_services, render
 from bramleycrank.daemon.entry_call import Call, CallListener
 from bramleycrank.daemon.entry_targets import EntryTargets, Targets
@@ -255,7 +255,7 @@
             self._traffic.note("sub_requests", far, len(data) + SEGMENT_BYTES)
             return data
 
-        sub = PoolSub(
+        sub = PooledSubRequest(
             action.sub_id,
             action.target_id,
             encode,
@@ -271,7 +271,7 @@
 
     # Ends of sub-requests.
 
-    def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
+    def on_response(self, call: Call, sub: PooledSubRequest, response: Response) -> bool:
         """Take a response; return whether it belongs to the request."""
         call.subs.pop(sub.sub_id, None)
         far = self._targets.is_far(sub.target_id)
@@ -299,13 +299,13 @@
         self._execute(call, execution.on_answer(sub.sub_id, answer, now))
         return True
 
-    def on_late(self, call: Call, sub: PoolSub, response: Response) -> None:
+    def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
         """Take what the response to a cancelled sub-request says about its target."""
         meta = self._dialect.target_meta(response)
         if meta.request_id == call.meta.request_id:
             self._note_wishes(sub, meta)
 
-    def _note_wishes(self, sub: PoolSub, meta: TargetMeta) -> None:
+    def _note_wishes(self, sub: PooledSubRequest, meta: TargetMeta) -> None:
         """Follow a target that leaves or wants no requests, before anything else is sent."""
         if meta.wrong_target or not meta.request_id:
             return
@@ -319,7 +319,7 @@
         """Return whether a response can be the target's own: a success needs its receipt."""
         return not 200 <= response.status < 300 or (bool(meta.receipt) and not meta.encoded)
 
-    def on_lost(self, call: Call, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
+    def on_lost(self, call: Call, sub: PooledSubRequest, *, sent: bool, garbled: bool) -> None:
         """Take the loss of a response."""
         call.subs.pop(sub.sub_id, None)
         kind = FailureKind.NOT_SENT
@@ -329,14 +329,14 @@
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
-    def on_cancel_completed(self, sub: PoolSub, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
         """Take note that a cancelled sub-request occupies its target no more."""
         now = self._clock()
         latency_s = now - sub.started if ending is CancelOutcome.ANSWERED else None
         silent = ending is CancelOutcome.SILENT
         self._targets.policy.on_cancel_completed(sub.target_id, latency_s, now, silent=silent)
 
-    def _note_failure(self, call: Call, sub: PoolSub, reason: str) -> None:
+    def _note_failure(self, call: Call, sub: PooledSubRequest, reason: str) -> None:
         self._metrics.incr("entry.sub_failures")
         if len(call.failures) < LOGGED_FAILURES:
             call.failures.append(f"{sub.target_id}: {reason}")
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -8,7 +8,7 @@
     SILENCE_S,
     CancelOutcome,
     HttpPool,
-    PoolSub,
+    PooledSubRequest,
 )
 
 
@@ -59,7 +59,7 @@
         return self.conns[-1]
 
     def send(self, number=1):
-        sub = PoolSub(number, "t", lambda: b"data", False, self)
+        sub = PooledSubRequest(number, "t", lambda: b"data", False, self)
         self.pool.send(sub)
         return sub
 
