--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -137,7 +137,7 @@
         if conn.connected:
             self._transmit(sub)
 
-    def recall(self, target_id: str) -> None:
+    def cancel_unsent(self, target_id: str) -> None:
         """Cancel the sub-requests that wait for a connection to a target; they count as lost."""
         for conn, sub in list(self._sub_by_conn.items()):
             if sub.target_id == target_id and not sub.sent:
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -156,7 +156,7 @@
         log.info("entry: target is held back", extra={"target": target_id, "hold_s": hold_s})
         self._metrics.incr("entry.holds")
         self._loop.call_at(until, self._on_room, target_id)
-        self.pool.recall(target_id)
+        self.pool.cancel_unsent(target_id)
 
     def is_far(self, target_id: str) -> bool:
         """Return whether a target is in another failure domain."""
