--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -111,7 +111,7 @@
         for conn in list(target.idle):
             conn.close()
 
-    def has_room(self, target_id: str) -> bool:
+    def has_capacity(self, target_id: str) -> bool:
         """Return whether a target can receive one more sub-request now."""
         target = self._targets.get(target_id)
         if target is None or target.down:
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -86,7 +86,9 @@
         self._budget = ConnectionBudget(ConnectionConfig(), self._clock())
         self._vm_count = 1
         self.pool = HttpPool(self._connect, self._share, self._on_room, self._on_down, self._clock)
-        self.policy = TargetPolicy(domain, extra, self.pool.has_room, lambda: self._vm_count, rng)
+        self.policy = TargetPolicy(
+            domain, extra, self.pool.has_capacity, lambda: self._vm_count, rng
+        )
         self._intake: IntakeBudget[TargetConnection] = IntakeBudget.from_memory(memory_bytes)
         self._services_of: dict[str, str] = {}
         self._incarnations: dict[str, int] = {}
--- a/bramleycrank/query/replicas.py
+++ b/bramleycrank/query/replicas.py
@@ -109,7 +109,7 @@
         shards = self._index.get(service, {}).get(snapshot)
         return shards[shard] if shards is not None else []
 
-    def has_room(self, target_id: str) -> bool:
+    def has_capacity(self, target_id: str) -> bool:
         """Return whether the concurrency limit of a target allows one more sub-request."""
         state = self._targets[target_id]
         return state.in_flight < state.limit
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -87,7 +87,7 @@
         Failure domain of this VM; its targets come first.
     extra : ExtraConfig
         Bound for extra sub-requests.
-    has_room : callable
+    has_capacity : callable
         Returns whether a target can take one more sub-request of this VM.
     vm_count : callable
         Returns the number of VMs that share the budget.
@@ -99,14 +99,14 @@
         self,
         domain: str,
         extra: ExtraConfig,
-        has_room: Callable[[str], bool],
+        has_capacity: Callable[[str], bool],
         vm_count: Callable[[], int],
         rng: random.Random,
     ) -> None:
         self.table = ReplicaTable(domain, rng, warmup_s=0.0)
         self._extra = extra
         self._rng = rng
-        self._has_room = has_room
+        self._has_room = has_capacity
         self._vm_count = vm_count
         self._budgets: dict[str, ExtraBudget] = {}
         self._latencies: dict[str, LatencyEstimate] = {}
@@ -123,7 +123,7 @@
         """
         exclude = set(tried)
         while (target_id := self.table.choose(service, WHOLE, 0, exclude, now)) is not None:
-            if self.table.has_room(target_id) and self._has_room(target_id):
+            if self.table.has_capacity(target_id) and self._has_room(target_id):
                 return target_id
             exclude.add(target_id)
         return None
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -95,9 +95,9 @@
 def test_the_share_includes_connections_that_are_opening():
     fixture = PoolFixture(share=2)
     fixture.send(1)
-    assert fixture.pool.has_room("t")
+    assert fixture.pool.has_capacity("t")
     fixture.send(2)
-    assert not fixture.pool.has_room("t")
+    assert not fixture.pool.has_capacity("t")
 
 
 def test_a_connection_past_its_idle_timeout_is_not_used():
@@ -124,10 +124,10 @@
     fixture.send(1)
     fixture.conns[0].close()
     assert fixture.events == [("lost", 1, False)] and fixture.down == [True]
-    assert not fixture.pool.has_room("t")
+    assert not fixture.pool.has_capacity("t")
     fixture.run(0.5)
     fixture.conns[1].open()
-    assert fixture.down == [True, False] and fixture.pool.has_room("t")
+    assert fixture.down == [True, False] and fixture.pool.has_capacity("t")
 
 
 def test_opening_a_connection_times_out():
@@ -191,6 +191,6 @@
     fixture.send(1)
     fixture.conns[0].open()
     fixture.pool.remove("t")
-    assert not fixture.pool.has_room("t")
+    assert not fixture.pool.has_capacity("t")
     fixture.conns[0].answer()
     assert fixture.events == [("response", 1)] and fixture.conns[0].closed
