--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -60,7 +60,7 @@
         starts to connect and returns the connection. Failures are reported to ``on_closed``.
     share : callable
         Returns how many connections this VM may open, given the target's connection limit.
-    on_room : callable
+    on_capacity : callable
         Called with the id of a target that can receive one more sub-request.
     on_down : callable
         Called with the id of a target and whether it is down, after each change.
@@ -72,13 +72,13 @@
         self,
         open_connection: Callable[[str, int, HttpPool], Connection],
         share: Callable[[int], int],
-        on_room: Callable[[str], None],
+        on_capacity: Callable[[str], None],
         on_down: Callable[[str, bool], None],
         clock: Callable[[], float],
     ) -> None:
         self._open_connection = open_connection
         self._share = share
-        self._on_room = on_room
+        self._on_room = on_capacity
         self._on_down = on_down
         self._clock = clock
         self._targets: dict[str, _Target] = {}
