--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -78,7 +78,7 @@
     ) -> None:
         self._open_connection = open_connection
         self._share = share
-        self._on_room = on_capacity
+        self._on_capacity = on_capacity
         self._on_down = on_down
         self._clock = clock
         self._targets: dict[str, _Target] = {}
@@ -271,7 +271,7 @@
         if open_failed:
             self._set_down(target)
         if not target.retired:
-            self._on_room(target.target_id)
+            self._on_capacity(target.target_id)
 
     def _report_lost(self, conn: Connection, *, garbled: bool) -> None:
         sub = self._sub_by_conn.pop(conn, None)
@@ -309,7 +309,7 @@
             conn.close()
         elif _is_usable(conn, self._clock()):
             target.idle.append(conn)
-            self._on_room(target.target_id)
+            self._on_capacity(target.target_id)
 
     def dump(self) -> dict[str, Any]:
         """Return the state and the connections of each target."""
