--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -144,7 +144,7 @@
                 del self._sub_by_conn[conn]  # the connection becomes idle once it is open
                 sub.listener.on_lost(sub, sent=False, garbled=False)
 
-    def cancel(self, sub: PooledSubRequest, *, overtaken: bool) -> None:
+    def cancel(self, sub: PooledSubRequest, *, superseded: bool) -> None:
         """Cancel a sub-request; a superseded one may still finish within `LINGER_S`.
 
         The listener receives `on_cancel_completed`, preceded by `on_late` if a response arrives.
@@ -155,7 +155,7 @@
         if not sub.sent:
             del self._sub_by_conn[conn]  # the connection becomes idle once it is open
             sub.listener.on_cancel_completed(sub, CancelOutcome.CANCELLED)
-        elif overtaken:
+        elif superseded:
             sub.linger_until = self._clock() + LINGER_S
             self._lingering.add(sub)
         else:
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -319,17 +319,17 @@
         self._end(shard)
         self._lost += 1
 
-    def _cancel(self, shard: Shard, overtaken: bool, now: float) -> list[Action]:
+    def _cancel(self, shard: Shard, superseded: bool, now: float) -> list[Action]:
         out: list[Action] = []
         for sub in list(shard.open):
             self._close(shard, sub)
-            if overtaken:
+            if superseded:
                 self._policy.on_overtaken(self.route.name, now - sub.sent_at)
-            out.append(Cancel(sub.sub_id, sub.target_id, overtaken))
+            out.append(Cancel(sub.sub_id, sub.target_id, superseded))
         return out
 
-    def _cancel_all(self, now: float, *, overtaken: bool = False) -> list[Action]:
-        return [a for shard in self._shards for a in self._cancel(shard, overtaken, now)]
+    def _cancel_all(self, now: float, *, superseded: bool = False) -> list[Action]:
+        return [a for shard in self._shards for a in self._cancel(shard, superseded, now)]
 
     # The end.
 
@@ -379,5 +379,5 @@
         self.ended = True
         # Targets that work on an answer that nobody needs any more are let finish if the request
         # ended well, which keeps their connections.
-        overtaken = not isinstance(action, Refusal)
-        return [*self._cancel_all(now, overtaken=overtaken), action]
+        superseded = not isinstance(action, Refusal)
+        return [*self._cancel_all(now, superseded=superseded), action]
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -61,7 +61,7 @@
         self.absent: set[str] = set()  # services without a target
         self.sent: list[str] = []
         self.failures: list[tuple[str, str]] = []
-        self.overtaken: list[float] = []
+        self.superseded: list[float] = []
 
     def names(self, service: str) -> list[str]:
         """Return the targets of a service."""
@@ -103,7 +103,7 @@
         self.failures.append((target_id, failure.kind))
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        self.overtaken.append(elapsed_s)
+        self.superseded.append(elapsed_s)
 
 
 def begin(route: Route, policy: FakePolicy, deadline: float = 2.0):
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -160,7 +160,7 @@
     fixture = PoolFixture()
     sub = fixture.send(1)
     fixture.conns[0].open()
-    fixture.pool.cancel(sub, overtaken=True)
+    fixture.pool.cancel(sub, superseded=True)
     fixture.conns[0].answer()
     assert (
         fixture.events == [("late", 1), (CancelOutcome.ANSWERED, 1)] and not fixture.conns[0].closed
@@ -171,7 +171,7 @@
     fixture = PoolFixture()
     sub = fixture.send(1)
     fixture.conns[0].open()
-    fixture.pool.cancel(sub, overtaken=True)
+    fixture.pool.cancel(sub, superseded=True)
     fixture.run(0.3)
     fixture.conns[1].open()  # the target is reachable
     fixture.run(LINGER_S)
@@ -182,7 +182,7 @@
     fixture = PoolFixture()
     sub = fixture.send(1)
     fixture.conns[0].open()
-    fixture.pool.cancel(sub, overtaken=False)
+    fixture.pool.cancel(sub, superseded=False)
     assert fixture.conns[0].closed and fixture.events == [(CancelOutcome.CANCELLED, 1)]
 
 
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -74,7 +74,7 @@
     [refusal] = of(Refusal, actions)
     assert not refusal.not_run, "the lost ones may have run"
     assert {c.sub_id for c in of(Cancel, actions)} == {subs["s2"].sub_id, subs["s3"].sub_id}
-    assert not any(c.overtaken for c in of(Cancel, actions))
+    assert not any(c.superseded for c in of(Cancel, actions))
 
 
 LOST = SubFailure(FailureKind.LOST)
