--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -18,8 +18,8 @@
 from bramleycrank.query.catalog import SnapshotCatalog
 from bramleycrank.query.result import build_answer, build_error
 from bramleycrank.query.subrequests import (
+    OpenSubRequest,
     ShardState,
-    Sub,
     choose_retry,
     dump_progress,
     shards_for,
@@ -96,7 +96,7 @@
         self._idempotent = idempotent
         self._hedging = hedging and idempotent
         self._pinned_version = pinned_version
-        self._open: dict[int, Sub] = {}
+        self._open: dict[int, OpenSubRequest] = {}
         self._shards: list[ShardState] = []
         self._template = b""
         self._shards_left = 0
@@ -169,7 +169,7 @@
         request = SubRequest.FromString(self._template)  # faster than copying the message
         request.sub_id = sub_id
         request.shard = shard.index
-        sub = Sub(sub_id, shard, target_id, now, first)
+        sub = OpenSubRequest(sub_id, shard, target_id, now, first)
         self._open[sub_id] = sub
         shard.open.append(sub)
         shard.tried.append(target_id)
@@ -201,11 +201,11 @@
             return self._retry(sub, MissingReason.SNAPSHOT_MISMATCH, False, now)
         return self._accept(sub, reply, now)
 
-    def _remove_open(self, sub: Sub) -> None:
+    def _remove_open(self, sub: OpenSubRequest) -> None:
         del self._open[sub.sub_id]
         sub.shard.open.remove(sub)
 
-    def _accept(self, sub: Sub, reply: SubReply, now: float) -> list[Action]:
+    def _accept(self, sub: OpenSubRequest, reply: SubReply, now: float) -> list[Action]:
         shard, out = sub.shard, []
         self._remove_open(sub)
         self._policy.on_reply(self.req.service, sub.target_id, now - sub.sent_at, sub.first, now)
@@ -222,7 +222,7 @@
         return out
 
     def _cancel(
-        self, subs: Collection[Sub], superseded: bool, now: float, out: list[Action]
+        self, subs: Collection[OpenSubRequest], superseded: bool, now: float, out: list[Action]
     ) -> None:
         for sub in subs:
             self._remove_open(sub)
@@ -230,7 +230,7 @@
             self._policy.on_cancelled(self.req.service, sub.target_id, elapsed, sub.first, now)
             out.append(CancelSub(sub.sub_id, sub.target_id))
 
-    def _on_refusal(self, sub: Sub, reply: SubReply, now: float) -> list[Action]:
+    def _on_refusal(self, sub: OpenSubRequest, reply: SubReply, now: float) -> list[Action]:
         self._remove_open(sub)
         service, target_id, status = self.req.service, sub.target_id, reply.status
         if status == SUB_STATUS_SHED:
@@ -265,7 +265,12 @@
         return self._retry(sub, MissingReason.FAILED, proved_not_run, now, free=proved_not_run)
 
     def _retry(
-        self, sub: Sub, reason: MissingReason, proved_not_run: bool, now: float, free: bool = False
+        self,
+        sub: OpenSubRequest,
+        reason: MissingReason,
+        proved_not_run: bool,
+        now: float,
+        free: bool = False,
     ) -> list[Action]:
         """Retry the shard, restart the query, or mark the shard as missing.
 
--- a/bramleycrank/query/subrequests.py
+++ b/bramleycrank/query/subrequests.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define(eq=False)
-class Sub:
+class OpenSubRequest:
     """A sub-request in flight."""
 
     sub_id: int
@@ -29,7 +29,7 @@
     """Progress of one shard of a query."""
 
     index: int
-    open: list[Sub] = attrs.field(factory=list)
+    open: list[OpenSubRequest] = attrs.field(factory=list)
     tried: list[str] = attrs.field(factory=list)
     lost: list[str] = attrs.field(factory=list)  # tried targets whose connection was lost
     reply: SubReply | None = None
