--- a/bramleycrank/filters/snapshot.py
+++ b/bramleycrank/filters/snapshot.py
@@ -7,7 +7,7 @@
 from bramleycrank.exceptions import NoTargets
 from bramleycrank.filters.types import Next, RequestContext
 from bramleycrank.query.catalog import SnapshotCatalog
-from bramleycrank.query.result import RETRY_MS
+from bramleycrank.query.result import DEFAULT_RETRY_AFTER_MS
 from bramleycrank.query.types import Answer
 
 
@@ -39,5 +39,5 @@
         ctx.snapshot = self._catalog.choose(service.name, pinned, self._clock())
         if ctx.snapshot is None:
             message = f"No target holds the pinned version {pinned}." if pinned else ""
-            raise NoTargets(message, retry_after_ms=RETRY_MS)
+            raise NoTargets(message, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
         return await next(ctx)
--- a/bramleycrank/query/result.py
+++ b/bramleycrank/query/result.py
@@ -26,7 +26,7 @@
     Snapshot,
 )
 
-RETRY_MS = 1000
+DEFAULT_RETRY_AFTER_MS = 1000
 """Retry-after where no target gave one; targets send a renewal every 2 s."""
 
 
@@ -67,7 +67,7 @@
     """Return the error of a query that lacks the replies for an answer."""
     reasons = Counter(shard.reason for shard in shards if shard.reply is None and shard.reason)
     if outcome is Outcome.NOT_RUN:
-        retry_after_ms = retry_after_ms or RETRY_MS
+        retry_after_ms = retry_after_ms or DEFAULT_RETRY_AFTER_MS
     if deadline_passed:
         return DeadlineExceeded(outcome=outcome, retry_after_ms=retry_after_ms)
     reason_counts = ", ".join(f"{count} {reason}" for reason, count in sorted(reasons.items()))
