--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -29,7 +29,7 @@
 a request to dozens of shards would include several trials.
 """
 
-SLOW = 2.0
+SLOW_FACTOR = 2.0
 """Ratio of the latency to the baseline latency of a target above which the target is slow."""
 
 REPROBE_PASSES = 4
@@ -185,7 +185,7 @@
         self._record_outcome(now, failed=False)
         if self.ejections and now - self.ejected_until > CALM_S:
             self.ejections = 0
-        if latency_s > SLOW * self.base_latency_s > 0:
+        if latency_s > SLOW_FACTOR * self.base_latency_s > 0:
             self._back_off(now)
         else:
             self.reprobe_s = REPROBE_S
