--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -15,7 +15,7 @@
 EJECT_BASE_S, EJECT_MAX_S = 1.0, 60.0
 """First and longest duration of an ejection; each further ejection doubles it."""
 
-CALM_S = 30.0
+EJECTION_RESET_S = 30.0
 """Time without an ejection after which the back-off is reset."""
 
 WARMUP_FLOOR = 0.05
@@ -183,7 +183,7 @@
         self.replies += 1
         self.failures = 0
         self._record_outcome(now, failed=False)
-        if self.ejections and now - self.ejected_until > CALM_S:
+        if self.ejections and now - self.ejected_until > EJECTION_RESET_S:
             self.ejections = 0
         if latency_s > SLOW_FACTOR * self.base_latency_s > 0:
             self._back_off(now)
