--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -18,7 +18,7 @@
 EJECTION_RESET_S = 30.0
 """Time without an ejection after which the back-off is reset."""
 
-WARMUP_FLOOR = 0.05
+MIN_WARMUP_SHARE = 0.05
 """Smallest load share of a warming target, which keeps observations coming in."""
 
 REPROBE_S, REPROBE_MAX_S = 1.0, 8.0
@@ -137,7 +137,7 @@
         """Return the load share of the target: 1 after the warm-up, less during it."""
         if now >= self.warm_until:
             return 1.0
-        return max(WARMUP_FLOOR, (now - self.warm_from) / (self.warm_until - self.warm_from))
+        return max(MIN_WARMUP_SHARE, (now - self.warm_from) / (self.warm_until - self.warm_from))
 
     def cost(self) -> float:
         """Return the expected cost of one more sub-request, regardless of the observations' age."""
