--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -32,7 +32,7 @@
 SLOW_FACTOR = 2.0
 """Ratio of the latency to the baseline latency of a target above which the target is slow."""
 
-REPROBE_PASSES = 4
+REPROBE_MIN_SKIPS = 4
 """Number of choices that must also have preferred other targets before a target is tried again.
 
 Without it, every observation would be outdated on a VM that queries a shard once a second.
@@ -173,7 +173,7 @@
 
     def score(self, now: float) -> float:
         """Return the expected cost of one more sub-request; lower is better."""
-        if now - self.sent_at > self.reprobe_s and self.passed_over >= REPROBE_PASSES:
+        if now - self.sent_at > self.reprobe_s and self.passed_over >= REPROBE_MIN_SKIPS:
             return 0.0  # outdated; without a new sample the score would never change
         # The reported load may be outdated or wrong, so it only breaks ties.
         return self.cost() + 1e-9 * self.reported
