--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -83,7 +83,9 @@
         "a fifth of the targets slow for seconds",
         (TARGETS, "REPROBE_S, REPROBE_MAX_S", "1.0, 1.0"),
     ),
-    _mechanism("share of failures", "a target fails a part", (TARGETS, "FAILED_COST", "0.0")),
+    _mechanism(
+        "share of failures", "a target fails a part", (TARGETS, "FAILURE_COST_FACTOR", "0.0")
+    ),
     _mechanism(
         "time lost by failures, near and far",
         "a target fails a part",
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -38,7 +38,7 @@
 Without it, every observation would be outdated on a VM that queries a shard once a second.
 """
 
-FAILED_COST = 8.0
+FAILURE_COST_FACTOR = 8.0
 """Cost of a certain failure, as a multiple of the latency; it also uses an attempt and budget."""
 
 REPEATED_COST = 4.0
@@ -142,7 +142,7 @@
     def cost(self) -> float:
         """Return the expected cost of one more sub-request, regardless of the observations' age."""
         load_s = (self.in_flight + 1) * (self.latency_s or UNKNOWN_LATENCY_S) * (1 + self.failures)
-        return load_s * (1 + FAILED_COST * self.failed_share)
+        return load_s * (1 + FAILURE_COST_FACTOR * self.failed_share)
 
     def expected_s(self, now: float) -> float:
         """Return the expected time in seconds of one more sub-request.
