--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -89,7 +89,7 @@
     _mechanism(
         "time lost by failures, near and far",
         "a target fails a part",
-        (TARGETS, "REPEATED_COST", "0.0"),
+        (TARGETS, "FAILURE_DELAY_FACTOR", "0.0"),
     ),
     _mechanism("refusals for load, near and far", "targets shed", (TARGETS, "SHED_COST", "0.0")),
     _mechanism("bounded rise of latency", "single pauses", (TARGETS, "LATENCY_RISE", NEVER)),
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -41,7 +41,7 @@
 FAILURE_COST_FACTOR = 8.0
 """Cost of a certain failure, as a multiple of the latency; it also uses an attempt and budget."""
 
-REPEATED_COST = 4.0
+FAILURE_DELAY_FACTOR = 4.0
 """Time lost by a certain failure, as a multiple of the latency: the failed sub-request and a retry
 at another target, which may have to open a connection first."""
 
@@ -156,7 +156,7 @@
         silent_s = now - self.busy_since if self.in_flight else 0.0
         wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
         failure_share = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
-        return wait_s * (1 + REPEATED_COST * failure_share + SHED_COST * self.shed_share)
+        return wait_s * (1 + FAILURE_DELAY_FACTOR * failure_share + SHED_COST * self.shed_share)
 
     def on_sent(self, now: float) -> None:
         """Count a sub-request in flight."""
