--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -91,7 +91,9 @@
         "a target fails a part",
         (TARGETS, "FAILURE_DELAY_FACTOR", "0.0"),
     ),
-    _mechanism("refusals for load, near and far", "targets shed", (TARGETS, "SHED_COST", "0.0")),
+    _mechanism(
+        "refusals for load, near and far", "targets shed", (TARGETS, "SHED_DELAY_FACTOR", "0.0")
+    ),
     _mechanism("bounded rise of latency", "single pauses", (TARGETS, "LATENCY_RISE", NEVER)),
     _mechanism("limits follow refusals", "targets shed", (TARGETS, "_SHED_FACTOR", "1.0")),
     _mechanism("limits follow queues", "demand above capacity", (TARGETS, "_QUEUED_FACTOR", "1.0")),
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -45,7 +45,7 @@
 """Time lost by a certain failure, as a multiple of the latency: the failed sub-request and a retry
 at another target, which may have to open a connection first."""
 
-SHED_COST = 4.0
+SHED_DELAY_FACTOR = 4.0
 """Additional cost if a failure is a shed sub-request, since a busy target should get less load."""
 
 UNKNOWN_LATENCY_S = 1e-4
@@ -156,7 +156,9 @@
         silent_s = now - self.busy_since if self.in_flight else 0.0
         wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
         failure_share = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
-        return wait_s * (1 + FAILURE_DELAY_FACTOR * failure_share + SHED_COST * self.shed_share)
+        return wait_s * (
+            1 + FAILURE_DELAY_FACTOR * failure_share + SHED_DELAY_FACTOR * self.shed_share
+        )
 
     def on_sent(self, now: float) -> None:
         """Count a sub-request in flight."""
