--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -51,7 +51,7 @@
 UNKNOWN_LATENCY_S = 1e-4
 """Assumed latency of a target without observations; low, so that the target is chosen."""
 
-MEMORY_S = 2.0
+OBSERVATION_DECAY_S = 2.0
 """Time constant with which observations follow a change, even if there are few replies."""
 
 LATENCY_RISE = 3.0
@@ -285,4 +285,4 @@
 
 def _time_weight(since_s: float) -> float:
     """Return the weight of a new observation by the time since the last one."""
-    return 1.0 - math.exp(-since_s / MEMORY_S)
+    return 1.0 - math.exp(-since_s / OBSERVATION_DECAY_S)
