--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -94,7 +94,9 @@
     _mechanism(
         "refusals for load, near and far", "targets shed", (TARGETS, "SHED_DELAY_FACTOR", "0.0")
     ),
-    _mechanism("bounded rise of latency", "single pauses", (TARGETS, "LATENCY_RISE", NEVER)),
+    _mechanism(
+        "bounded rise of latency", "single pauses", (TARGETS, "MAX_LATENCY_RISE_FACTOR", NEVER)
+    ),
     _mechanism("limits follow refusals", "targets shed", (TARGETS, "_SHED_FACTOR", "1.0")),
     _mechanism("limits follow queues", "demand above capacity", (TARGETS, "_QUEUED_FACTOR", "1.0")),
     _mechanism(
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -54,7 +54,7 @@
 OBSERVATION_DECAY_S = 2.0
 """Time constant with which observations follow a change, even if there are few replies."""
 
-LATENCY_RISE = 3.0
+MAX_LATENCY_RISE_FACTOR = 3.0
 """Ratio of a latency sample to the observed latency at which the sample is capped.
 
 This bounds the effect of a single pause, also where replies are rare and each has a large weight.
@@ -197,7 +197,7 @@
             self.latency_s = self.base_latency_s = latency_s
             return
         weight = max(_MIN_LATENCY_WEIGHT, _time_weight(since_s))
-        change = (min(latency_s, LATENCY_RISE * previous_s) - previous_s) * weight
+        change = (min(latency_s, MAX_LATENCY_RISE_FACTOR * previous_s) - previous_s) * weight
         self.latency_s = previous_s + change
         rising = latency_s > self.base_latency_s
         self.base_latency_s += (latency_s - self.base_latency_s) * (
