--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -60,7 +60,7 @@
 This bounds the effect of a single pause, also where replies are rare and each has a large weight.
 """
 
-FAILED_WEIGHT_MAX = 0.3
+MAX_FAILED_WEIGHT = 0.3
 """Largest weight of one sub-request in the failed share, even if sub-requests are rare."""
 
 _MIN_LATENCY_WEIGHT = 0.1  # smallest weight of one reply in the observed latency
@@ -219,7 +219,7 @@
             self.slow_at = now
 
     def _record_outcome(self, now: float, *, failed: bool, shed: bool = False) -> None:
-        weight = max(_MIN_FAILED_WEIGHT, min(FAILED_WEIGHT_MAX, _time_weight(now - self.ended_at)))
+        weight = max(_MIN_FAILED_WEIGHT, min(MAX_FAILED_WEIGHT, _time_weight(now - self.ended_at)))
         self.failed_share += (failed - self.failed_share) * weight
         self.shed_share += (shed - self.shed_share) * weight
         self.ended_at = now
