--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -102,10 +102,12 @@
     _mechanism(
         "own domain first",
         "copies in several domains",
-        ("query/replicas", "LOCAL_ADVANTAGE", "1.0"),
+        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", "1.0"),
     ),
     _mechanism(
-        "slow local target passed over", "a copy slow", ("query/replicas", "LOCAL_ADVANTAGE", NEVER)
+        "slow local target passed over",
+        "a copy slow",
+        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", NEVER),
     ),
     _mechanism("overtaken requests finish", "hedges", ("connections/http_pool", "LINGER_S", "0.0")),
     _mechanism(
--- a/bramleycrank/query/replicas.py
+++ b/bramleycrank/query/replicas.py
@@ -15,7 +15,7 @@
 
 _Shards = list[list[TargetState]]
 
-LOCAL_ADVANTAGE = 2.0
+LOCAL_PREFERENCE_FACTOR = 2.0
 """Ratio of expected times up to which a local target is preferred to the best remote one, since
 traffic between domains is expensive."""
 
@@ -267,7 +267,7 @@
     if not remote or not local.score(now):
         return None
     best = min(remote, key=lambda t: t.expected_s(now))
-    return best if local.expected_s(now) > LOCAL_ADVANTAGE * best.expected_s(now) else None
+    return best if local.expected_s(now) > LOCAL_PREFERENCE_FACTOR * best.expected_s(now) else None
 
 
 def _limit_ejections(replicas: list[TargetState], ejected: list[TargetState]) -> list[TargetState]:
