--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -75,7 +75,7 @@
         """Count a failure."""
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        """Count the time after which a sub-request was overtaken by another one."""
+        """Count the time after which a sub-request was superseded by another one."""
 
 
 class TargetPolicy:
@@ -211,7 +211,7 @@
             self.table.on_failure(target_id, now)
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        """Count the time after which a sub-request was overtaken by another one.
+        """Count the time after which a sub-request was superseded by another one.
 
         The time counts as a latency, as a lower bound; without it the estimate would lose its tail
         to the hedges, and the hedge time would shrink with every hedge.
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    overtaken : bool
+    superseded : bool
         Whether another target answered first. The target may then finish, which keeps the
         connection; otherwise nobody waits any more and the connection is closed.
     """
--- a/tests/test_query_admission.py
+++ b/tests/test_query_admission.py
@@ -45,7 +45,7 @@
             if isinstance(action, Admit):
                 older = [t for t in self.queued if t.offered_at < ticket.offered_at]
                 same = (ticket.service, ticket.priority)
-                assert same not in {(t.service, t.priority) for t in older}, "overtaken"
+                assert same not in {(t.service, t.priority) for t in older}, "superseded"
                 self.running.append(ticket)
             else:
                 assert action.error.outcome is Outcome.NOT_RUN
