--- a/bramleycrank/query/replicas.py
+++ b/bramleycrank/query/replicas.py
@@ -134,7 +134,7 @@
             faster = _find_faster_remote(free, chosen, now)
             if faster is None:
                 return chosen.target_id
-            chosen.passed_over += 1
+            chosen.skipped_count += 1
             return faster.target_id
         ready = self._filter_by_warmup(free, now)
         if not ready:
@@ -156,7 +156,7 @@
         left, right = ready[first], ready[second if second < first else second + 1]
         if left.score(now) > right.score(now):
             left, right = right, left
-        right.passed_over += 1
+        right.skipped_count += 1
         return left
 
     def on_sent(self, target_id: str, now: float) -> None:
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -95,7 +95,7 @@
     in_flight: int = 0
     sent_at: float = -1e9
     busy_since: float = 0.0  # last end of a sub-request, or first one in flight
-    passed_over: int = 0  # choices since `sent_at` that preferred another target
+    skipped_count: int = 0  # choices since `sent_at` that preferred another target
     reprobe_s: float = REPROBE_S
     slow_at: float = -1e9  # when `reprobe_s` was last doubled
     replied_at: float = 0.0
@@ -166,7 +166,7 @@
             self.busy_since = now
         self.in_flight += 1
         self.sent_at = now
-        self.passed_over = 0
+        self.skipped_count = 0
 
     def on_ended(self, now: float) -> None:
         """Count the end of a sub-request, regardless of its result."""
@@ -175,7 +175,7 @@
 
     def score(self, now: float) -> float:
         """Return the expected cost of one more sub-request; lower is better."""
-        if now - self.sent_at > self.reprobe_s and self.passed_over >= REPROBE_MIN_SKIPS:
+        if now - self.sent_at > self.reprobe_s and self.skipped_count >= REPROBE_MIN_SKIPS:
             return 0.0  # outdated; without a new sample the score would never change
         # The reported load may be outdated or wrong, so it only breaks ties.
         return self.cost() + 1e-9 * self.reported
