--- a/bramleycrank/query/replicas.py
+++ b/bramleycrank/query/replicas.py
@@ -238,7 +238,7 @@
         """Record a load report, which only decides between otherwise equal targets."""
         state = self._targets.get(target_id)
         if state is not None:
-            state.reported = (report.in_flight + report.queued) / max(1, report.slots)
+            state.reported_load = (report.in_flight + report.queued) / max(1, report.slots)
 
     def on_queued(self, target_id: str, now: float) -> None:
         """Handle a response that reports requests queued at the target."""
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -112,7 +112,7 @@
     down: bool = False
     held_until: float = 0.0  # end of the hold
     leaving: bool = False
-    reported: float = 0.0
+    reported_load: float = 0.0
     replies: int = 0
     shed_count: int = 0
     failure_count: int = 0
@@ -178,7 +178,7 @@
         if now - self.sent_at > self.reprobe_s and self.skipped_count >= REPROBE_MIN_SKIPS:
             return 0.0  # outdated; without a new sample the score would never change
         # The reported load may be outdated or wrong, so it only breaks ties.
-        return self.cost() + 1e-9 * self.reported
+        return self.cost() + 1e-9 * self.reported_load
 
     def on_reply(self, latency_s: float, now: float) -> None:
         """Count an accepted reply."""
@@ -263,7 +263,7 @@
             "shed": self.shed_count,
             "failed_share": round(self.failed_share, 3),
             "failed": self.failure_count,
-            "reported_load": round(self.reported, 3),
+            "reported_load": round(self.reported_load, 3),
         }
 
     def _why(self, now: float) -> str:
