--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -372,7 +372,7 @@
         service = self.req.service
         target_id = self._policy.choose(service, self.snapshot, shard.index, shard.tried, now)
         if target_id is not None:
-            if not self._policy.take_hedge(service):
+            if not self._policy.acquire_hedge(service):
                 return False
             self._hedges += 1
             self._send(shard, target_id, False, now, out)
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -81,7 +81,7 @@
             return base
         return base + (1.0 - base) * (0.25 if fill_share >= 0.2 else 0.5)
 
-    def take_hedge(self, service: str) -> bool:
+    def acquire_hedge(self, service: str) -> bool:
         """Take one hedge token from the budget; return False if there is none."""
         stats = self.stats(service)
         return stats.hedges.take(stats.shed.scale)
@@ -188,7 +188,7 @@
         """Return None: there are no hedges."""
         return None
 
-    def take_hedge(self, service: str) -> bool:
+    def acquire_hedge(self, service: str) -> bool:
         """Return False: there are no hedges."""
         return False
 
--- a/bramleycrank/query/types.py
+++ b/bramleycrank/query/types.py
@@ -315,7 +315,7 @@
     def hedge_delay(self, service: str) -> float | None:
         """Return the time in seconds after which a sub-request is hedged; None for no hedging."""
 
-    def take_hedge(self, service: str) -> bool:
+    def acquire_hedge(self, service: str) -> bool:
         """Take one hedge token from the budget; return False if there is none."""
 
     def take_retry(self, service: str) -> bool:
