--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -292,7 +292,7 @@
             target_id = choose_retry(
                 shard, lambda tried: choose(service, self.snapshot, shard.index, tried, now)
             )
-            if target_id is not None and (free or self._policy.take_retry(service)):
+            if target_id is not None and (free or self._policy.acquire_retry(service)):
                 shard.retries += 1
                 self._retries += 1
                 self._send(shard, target_id, False, now, out)
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -86,7 +86,7 @@
         stats = self.stats(service)
         return stats.hedges.take(stats.shed.scale)
 
-    def take_retry(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Take one retry token from the budget; return False if there is none."""
         stats = self.stats(service)
         return stats.retries.take(stats.shed.scale)
@@ -192,7 +192,7 @@
         """Return False: there are no hedges."""
         return False
 
-    def take_retry(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Return True: only the number of retries per shard is limited."""
         return True
 
--- a/bramleycrank/query/types.py
+++ b/bramleycrank/query/types.py
@@ -318,7 +318,7 @@
     def acquire_hedge(self, service: str) -> bool:
         """Take one hedge token from the budget; return False if there is none."""
 
-    def take_retry(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Take one retry token from the budget; return False if there is none."""
 
     def on_sent(self, service: str, target_id: str, first: bool, now: float) -> None:
