--- a/bramleycrank/query/budgets.py
+++ b/bramleycrank/query/budgets.py
@@ -49,7 +49,7 @@
         tokens = self.tokens + self.ratio * scale
         self.tokens = tokens if tokens < self.burst else self.burst
 
-    def take(self, scale: float) -> bool:
+    def try_acquire(self, scale: float) -> bool:
         """Take one token; return False if there is none or `scale` is zero."""
         if scale <= 0.0 or self.tokens < 1.0:
             self.denied += 1
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -84,12 +84,12 @@
     def acquire_hedge(self, service: str) -> bool:
         """Take one hedge token from the budget; return False if there is none."""
         stats = self.stats(service)
-        return stats.hedges.take(stats.shed.scale)
+        return stats.hedges.try_acquire(stats.shed.scale)
 
     def acquire_retry(self, service: str) -> bool:
         """Take one retry token from the budget; return False if there is none."""
         stats = self.stats(service)
-        return stats.retries.take(stats.shed.scale)
+        return stats.retries.try_acquire(stats.shed.scale)
 
     def on_sent(self, service: str, target_id: str, first: bool, now: float) -> None:
         """Count a sub-request; a first one earns budget for extra ones."""
