--- a/bramleycrank/connections/budgets.py
+++ b/bramleycrank/connections/budgets.py
@@ -31,7 +31,7 @@
         """Return a full budget."""
         return cls(cfg.reconnects_per_s, cfg.reconnect_burst, now)
 
-    def take(self, now: float, *, reserve: float = 0.0) -> bool:
+    def try_acquire(self, now: float, *, reserve: float = 0.0) -> bool:
         """Take one token; return False if there is none.
 
         Parameters
--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -316,7 +316,7 @@
         # The first connection is not a reconnect. A check without budget is retried by `tick`.
         reconnect = self._has_opened or self._failures > 0
         reserve = RETRY_RESERVE_SHARE if self.down else 0.0
-        if reconnect and not self._reconnects.take(now, reserve=reserve):
+        if reconnect and not self._reconnects.try_acquire(now, reserve=reserve):
             return []
         self._opening = True
         return [OpenConnection(self.target_id)]
--- a/tests/test_connections_monitor.py
+++ b/tests/test_connections_monitor.py
@@ -301,7 +301,7 @@
     now, taken = 0.0, 0
     for pause in pauses:
         now += pause
-        while budget.take(now):
+        while budget.try_acquire(now):
             taken += 1
         assert taken <= 20 + 10 * now + 1e-6
 
