--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -138,11 +138,11 @@
         else:
             self._table.on_failure(target_id, now)
 
-    def on_gone(
+    def on_replica_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
         """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
-        self._table.on_gone(service, target_id, snapshot, shard, now)
+        self._table.on_replica_gone(service, target_id, snapshot, shard, now)
 
     def dump(self, now: float) -> dict[str, Any]:
         """Return the budgets and latencies of every service."""
@@ -220,11 +220,11 @@
         """Count a cancelled sub-request for the dump."""
         self._table.on_cancelled(target_id, now)
 
-    def on_gone(
+    def on_replica_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
         """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
-        self._table.on_gone(service, target_id, snapshot, shard, now)
+        self._table.on_replica_gone(service, target_id, snapshot, shard, now)
 
     def dump(self, now: float) -> dict[str, Any]:
         """Return the reason why there is no state."""
--- a/bramleycrank/query/replicas.py
+++ b/bramleycrank/query/replicas.py
@@ -192,7 +192,7 @@
         """Count a cancelled sub-request, which gives no observation of the target."""
         self._count_ended(target_id, now)
 
-    def on_gone(
+    def on_replica_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
         """Remove a replica that a target no longer has; all its replicas if `snapshot` is None."""
--- a/bramleycrank/query/types.py
+++ b/bramleycrank/query/types.py
@@ -340,7 +340,7 @@
     ) -> None:
         """Count a cancelled sub-request; `elapsed_s` is 0 unless another reply superseded it."""
 
-    def on_gone(
+    def on_replica_gone(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
         """Handle a target that lacks the shard, or that is leaving if `snapshot` is None."""
--- a/tests/test_query_replicas.py
+++ b/tests/test_query_replicas.py
@@ -142,7 +142,7 @@
 def test_a_leaving_target_gets_no_sub_request_until_it_restarts() -> None:
     table = table_of(2)
     table.on_sent("t0", 1.0)
-    table.on_gone(SERVICE, "t0", None, 0, 1.0)
+    table.on_replica_gone(SERVICE, "t0", None, 0, 1.0)
     assert chosen(table, 1.0, ("t1",)) == {None: 300}
     held = [(SNAP, 0)]
     new_records = [record("t0", held, sequence=2), record("t1", held)]
