--- a/bramleycrank/query/catalog.py
+++ b/bramleycrank/query/catalog.py
@@ -68,7 +68,7 @@
         self._services[service] = updated
         return True
 
-    def mark_gone(
+    def remove_replica(
         self, service: str, target_id: str, snapshot: Snapshot | None, shard: int, now: float
     ) -> None:
         """Remove a replica that a target no longer has; all its replicas if `snapshot` is None."""
--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -243,7 +243,7 @@
             self._possibly_run -= 1
             missing_from = self.snapshot if status == SUB_STATUS_SNAPSHOT_GONE else None
             self._policy.on_replica_gone(service, target_id, missing_from, sub.shard.index, now)
-            self._catalog.mark_gone(service, target_id, missing_from, sub.shard.index, now)
+            self._catalog.remove_replica(service, target_id, missing_from, sub.shard.index, now)
             return self._retry(sub, MissingReason.NO_REPLICA, True, now, free=True)
         self._policy.on_failure(service, target_id, now)
         timed_out = status == SUB_STATUS_DEADLINE
--- a/tests/test_query_replicas.py
+++ b/tests/test_query_replicas.py
@@ -196,7 +196,7 @@
 def test_a_late_record_of_a_leaving_target_does_not_restore_its_replicas() -> None:
     catalog, held = SnapshotCatalog(), [(SNAP, 0)]
     catalog.update(SERVICE, [record("t0", held)], 0.0)
-    catalog.mark_gone(SERVICE, "t0", None, 0, 0.0)
+    catalog.remove_replica(SERVICE, "t0", None, 0, 0.0)
     assert catalog.choose(SERVICE, 0, 0.0) is None
     catalog.update(SERVICE, [record("t0", held, sequence=2)], 0.0)
     assert catalog.choose(SERVICE, 0, 0.0) is None
@@ -209,7 +209,7 @@
     records = [*grid(old, 2), record("n0", [(new, 0)]), record("n1", [(new, 1)])]
     catalog.update(SERVICE, records, 0.0)
     assert catalog.choose(SERVICE, 0, 0.0) == new
-    catalog.mark_gone(SERVICE, "n1", new, 1, 0.0)
+    catalog.remove_replica(SERVICE, "n1", new, 1, 0.0)
     assert catalog.choose(SERVICE, 0, 0.0) == old
     catalog.update(SERVICE, [*records, record("x", [])], 0.0)
     assert catalog.choose(SERVICE, 0, 0.0) == old
