--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -220,7 +220,7 @@
         return next(iter(self._conns), None)
 
     @property
-    def resolving(self) -> bool:
+    def connection_pending(self) -> bool:
         """Whether the connection for new sub-requests is still being opened or checked."""
         return not self.down and self.ready_conn is None
 
--- a/bramleycrank/daemon/target_link.py
+++ b/bramleycrank/daemon/target_link.py
@@ -191,7 +191,7 @@
         if conn_id is not None:
             sub.session = self._sessions[conn_id]
             sub.session.send(request)
-        elif self.monitor.resolving:
+        elif self.monitor.connection_pending:
             self._held[sub_id] = None
         else:
             self._fail(sub_id, FailureReason.NOT_SENT)
@@ -231,7 +231,7 @@
                 sub.session = self._sessions[conn_id]
                 sub.session.send(sub.request)
             self._held.clear()
-        elif not self.monitor.resolving:
+        elif not self.monitor.connection_pending:
             for sub_id in list(self._held):
                 self._fail(sub_id, FailureReason.NOT_SENT)
 
