--- a/bramleycrank/connections/budgets.py
+++ b/bramleycrank/connections/budgets.py
@@ -76,7 +76,7 @@
         # Decreasing counts with the time at which each was last seen; the first is the highest.
         self._counts: deque[tuple[int, float]] = deque()
 
-    def on_count(self, vm_count: int, now: float) -> None:
+    def on_vm_count(self, vm_count: int, now: float) -> None:
         """Record the number of known VMs, including those that died in the last 30 s."""
         while self._counts and self._counts[-1][0] <= vm_count:
             self._counts.pop()
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -238,7 +238,7 @@
                 self.pool.tick()
                 if turn % COUNT_TICKS == 0:
                     self._vm_count = max(1, self._source.vm_count())
-                    self._budget.on_count(self._vm_count, self._clock())
+                    self._budget.on_vm_count(self._vm_count, self._clock())
             except Exception:
                 log.exception("entry: tick failed")
             await asyncio.sleep(POOL_TICK_S)
--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -114,7 +114,7 @@
         """Open sessions to all usable targets and follow the registry from now on."""
         now = self._clock()
         self._budget = ConnectionBudget(self._context.cfg, now)
-        self._budget.on_count(self._membership.vm_count(), now)
+        self._budget.on_vm_count(self._membership.vm_count(), now)
         self._membership.subscribe_targets(self._on_target)
         for record in self._membership.all_targets():
             self._on_target(record)
@@ -239,7 +239,7 @@
             await asyncio.sleep(TICK_S)
             now = self._clock()
             if turn % COUNT_TURNS == 0:
-                self._budget.on_count(self._membership.vm_count(), now)
+                self._budget.on_vm_count(self._membership.vm_count(), now)
             links = [*self._links.values(), *self._retiring]
             # Each turn begins with another link: with a fixed order the first ones would take
             # every reconnect of the budget while many targets are down.
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -199,7 +199,7 @@
         if vm.core is None or vm.paused_until > self.now:
             return
         self.execute(vm, [*vm.core.tick(self.now), *vm.registry.tick(self.now)])
-        vm.budget.on_count(vm.core.budget_count(self.now), self.now)
+        vm.budget.on_vm_count(vm.core.budget_count(self.now), self.now)
         self.check_left(vm)
 
     def check_left(self, vm):
--- a/tests/test_connections_monitor.py
+++ b/tests/test_connections_monitor.py
@@ -285,7 +285,7 @@
     seen = []
     for pause, count in steps:
         now += pause
-        budget.on_count(count, now)
+        budget.on_vm_count(count, now)
         seen.append((now, count))
         recent = [c for at, c in seen if now - at <= CFG.budget_retention_s]
         share = budget.share(limit, now)
