--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -16,7 +16,7 @@
 from bramleycrank.query.queues import ClassQueue
 from bramleycrank.query.types import CLASSES, Admit, QueryConfig, Refuse, Ticket
 
-WEIGHTS = {"urgent": 8, "normal": 3, "bulk": 1}
+CLASS_WEIGHTS = {"urgent": 8, "normal": 3, "bulk": 1}
 """Requests of each class that are admitted in one round while all classes have queued requests."""
 
 RECHECK_S = 0.02
@@ -163,7 +163,7 @@
         """Return the estimated wait in seconds at a position in the class and in the service."""
         median, priority = self._service_time.quantile(0.5), ticket.priority
         waiting = [name for name in CLASSES if self._queues[name] or name == priority]
-        share = WEIGHTS[priority] / sum(WEIGHTS[name] for name in waiting)
+        share = CLASS_WEIGHTS[priority] / sum(CLASS_WEIGHTS[name] for name in waiting)
         rounds = position / (max(1, int(self.limit.value)) * share)
         if service_limit := self._service_limit(ticket):
             rounds = max(rounds, service_position / service_limit)
@@ -251,7 +251,8 @@
         for refill in (False, True):
             if refill:
                 self._deficit = {
-                    name: WEIGHTS[name] if queue else 0 for name, queue in self._queues.items()
+                    name: CLASS_WEIGHTS[name] if queue else 0
+                    for name, queue in self._queues.items()
                 }
             for name, queue in self._queues.items():
                 if queue and self._deficit[name] > 0:
--- a/tests/test_query_admission.py
+++ b/tests/test_query_admission.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from bramleycrank.exceptions import Outcome
-from bramleycrank.query.admission import RECHECK_S, WEIGHTS, Admission
+from bramleycrank.query.admission import CLASS_WEIGHTS, RECHECK_S, Admission
 from bramleycrank.query.limit import MIN_LIMIT, AdaptiveLimit
 from bramleycrank.query.types import CLASSES, Admit, Refuse, Ticket
 
@@ -146,7 +146,7 @@
         [action] = admission.release(running.pop(0), 0.01, False, 0.0)
         served[action.ticket.priority] += 1
         running.append(action.ticket)
-    assert served == {name: weight * 10 for name, weight in WEIGHTS.items()}
+    assert served == {name: weight * 10 for name, weight in CLASS_WEIGHTS.items()}
 
 
 def test_a_request_that_cannot_be_answered_in_time_is_refused_at_once() -> None:
