--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -29,7 +29,7 @@
 for them would be wasted.
 """
 
-PROBE_S = 1.0
+IDLE_RESET_S = 1.0
 """Time without running requests after which the earlier latencies of a service are ignored.
 
 Only a running request can show that the service has become fast again. Without this rule, a service
@@ -178,7 +178,7 @@
     def _is_idle(self, ticket: Ticket, now: float) -> bool:
         if self._running_by_service[ticket.service]:
             return False
-        return now - self._last_ended_at.get(ticket.service, now) > PROBE_S
+        return now - self._last_ended_at.get(ticket.service, now) > IDLE_RESET_S
 
     def release(
         self, ticket: Ticket, latency_s: float, overloaded: bool, now: float
