--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -19,7 +19,7 @@
 CLASS_WEIGHTS = {"urgent": 8, "normal": 3, "bulk": 1}
 """Requests of each class that are admitted in one round while all classes have queued requests."""
 
-RECHECK_S = 0.02
+RECHECK_INTERVAL_S = 0.02
 """Interval at which queued requests are checked against their deadlines."""
 
 QUEUED_QUANTILE = 0.95
@@ -108,7 +108,7 @@
         ticket.state = "queued"
         queue.push(ticket)
         if self._next_check_at is None:
-            self._next_check_at = now + RECHECK_S
+            self._next_check_at = now + RECHECK_INTERVAL_S
         return []
 
     def _median_exceeds_deadline(self, ticket: Ticket, now: float) -> bool:
@@ -268,7 +268,7 @@
         if self._refuse_late:
             for queue in self._queues.values():
                 out += self._refuse_late_queued(queue, now)
-        self._next_check_at = now + RECHECK_S if self.queued else None
+        self._next_check_at = now + RECHECK_INTERVAL_S if self.queued else None
         return out
 
     def _refuse_late_queued(self, queue: ClassQueue, now: float) -> list[_Action]:
--- a/tests/test_query_admission.py
+++ b/tests/test_query_admission.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from bramleycrank.exceptions import Outcome
-from bramleycrank.query.admission import CLASS_WEIGHTS, RECHECK_S, Admission
+from bramleycrank.query.admission import CLASS_WEIGHTS, RECHECK_INTERVAL_S, Admission
 from bramleycrank.query.limit import MIN_LIMIT, AdaptiveLimit
 from bramleycrank.query.types import CLASSES, Admit, Refuse, Ticket
 
@@ -108,7 +108,7 @@
         assert all(count == 1 for count in self.final.values())
         due = self.admission.next_deadline()
         assert (due is None) == (not self.queued)
-        assert due is None or due <= self.now + RECHECK_S
+        assert due is None or due <= self.now + RECHECK_INTERVAL_S
 
     @invariant()
     def no_capacity_stays_unused(self) -> None:
