--- a/bramleycrank/query/budgets.py
+++ b/bramleycrank/query/budgets.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-SHED_CUTOFF = 0.20
+SHED_CUTOFF_SHARE = 0.20
 """Share of shed replies from which on the budgets are zero."""
 
 _SHED_WEIGHT = 0.01  # weight of one reply in the average, which covers about 100 replies
@@ -23,7 +23,7 @@
     @property
     def scale(self) -> float:
         """Factor for the budgets: 1 without shed replies, 0 at or above the cut-off share."""
-        return max(0.0, 1.0 - self.share / SHED_CUTOFF)
+        return max(0.0, 1.0 - self.share / SHED_CUTOFF_SHARE)
 
 
 class TokenBudget:
