--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -16,7 +16,7 @@
 MIN_SAMPLES = 50
 """Number of latency samples from which on the hedge delay is derived from them."""
 
-UNKNOWN_HEDGE_DELAY_S = 0.25
+DEFAULT_HEDGE_DELAY_S = 0.25
 """Hedge delay while there are fewer than `MIN_SAMPLES` latency samples.
 
 Without hedging in that time, a frozen replica made the first answers after a restart partial.
@@ -67,7 +67,7 @@
         """Return the time in seconds after which a sub-request is hedged."""
         stats = self.stats(service)
         if stats.latency.samples < MIN_SAMPLES:
-            return UNKNOWN_HEDGE_DELAY_S
+            return DEFAULT_HEDGE_DELAY_S
         return stats.latency.quantile(self._hedge_quantile(stats.hedges))
 
     def _hedge_quantile(self, hedges: TokenBudget) -> float:
@@ -158,7 +158,7 @@
     else:
         why = "budgets are full: no replies are shed"
     has_samples = stats.latency.samples >= MIN_SAMPLES
-    delay = stats.latency.quantile(cfg.hedge_quantile) if has_samples else UNKNOWN_HEDGE_DELAY_S
+    delay = stats.latency.quantile(cfg.hedge_quantile) if has_samples else DEFAULT_HEDGE_DELAY_S
     return {
         "why": why,
         "shed_share": round(stats.shed.share, 4),
