--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -21,7 +21,7 @@
 SILENCE_S = 0.25
 """Silence of a target with sub-requests in flight after which a new connection is opened."""
 
-PROBE_PAUSE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 """Interval between probe connections to a target that is silent but reachable."""
 
 
@@ -194,7 +194,7 @@
             target = self._targets.get(target_id)
             if target is None or target.down or now - target.answered_at <= SILENCE_S:
                 continue
-            if now - target.probed_at > PROBE_PAUSE_S:
+            if now - target.probed_at > PROBE_INTERVAL_S:
                 target.probed_at = now
                 self._open(target)
 
