--- a/bramleycrank/query/holds.py
+++ b/bramleycrank/query/holds.py
@@ -11,7 +11,7 @@
 MAX_HOLD_S = 3600.0
 """Longest hold in seconds; without it a wrong value could make a shard unavailable for good."""
 
-RETURN_SPREAD = 0.1
+HOLD_JITTER_SHARE = 0.1
 """Largest share by which a hold is extended, so that VMs do not all resume at the same time."""
 
 
@@ -59,7 +59,7 @@
                 "query: shortened a hold that is too long",
                 extra={"target": target_id, "hold_s": hold_s},
             )
-        duration_s = min(hold_s, MAX_HOLD_S) * (1 + RETURN_SPREAD * self._random())
+        duration_s = min(hold_s, MAX_HOLD_S) * (1 + HOLD_JITTER_SHARE * self._random())
         self._until = {name: held for name, held in self._until.items() if held[1] > now}
         self._until[target_id] = (incarnation, max(current_until, now + duration_s))
         return self._until[target_id][1]
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -9,7 +9,7 @@
 import pytest
 from query_fakes import SERVICE, record
 
-from bramleycrank.query.holds import MAX_HOLD_S, RETURN_SPREAD, Holds
+from bramleycrank.query.holds import HOLD_JITTER_SHARE, MAX_HOLD_S, Holds
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot
 from bramleycrank.scatter.budget import ExtraConfig
@@ -94,7 +94,7 @@
 
 def test_vms_do_not_resume_at_the_same_time():
     ends = {Holds(random.Random(seed).random).add("t", 1, 2.0, 0.0) for seed in range(20)}
-    assert len(ends) == 20 and all(2.0 <= end <= 2.0 * (1 + RETURN_SPREAD) for end in ends)
+    assert len(ends) == 20 and all(2.0 <= end <= 2.0 * (1 + HOLD_JITTER_SHARE) for end in ends)
 
 
 def held_policy() -> TargetPolicy:
