--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -109,9 +109,7 @@
         "a copy slow",
         ("query/replicas", "LOCAL_PREFERENCE_FACTOR", NEVER),
     ),
-    _mechanism(
-        "superseded requests finish", "hedges", ("connections/http_pool", "LINGER_S", "0.0")
-    ),
+    _mechanism("overtaken requests finish", "hedges", ("connections/http_pool", "LINGER_S", "0.0")),
     _mechanism(
         "silent targets tried by a connection",
         "a domain cut off",
