--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -131,7 +131,7 @@
         if target is None:
             sub.listener.on_lost(sub, sent=False, garbled=False)
             return
-        conn = self._take_idle(target) or self._open(target)
+        conn = self._pop_idle(target) or self._open(target)
         sub.conn = conn
         self._sub_by_conn[conn] = sub
         if conn.connected:
@@ -198,7 +198,7 @@
                 target.probed_at = now
                 self._open(target)
 
-    def _take_idle(self, target: _Target) -> Connection | None:
+    def _pop_idle(self, target: _Target) -> Connection | None:
         now = self._clock()
         while target.idle:
             conn = target.idle.pop()
--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -42,7 +42,7 @@
 
 @attrs.define
 class _Check:
-    """A check of a connection that was silent for too long."""
+    """A check of a connection that has been silent for too long."""
 
     conn_id: int
     since: float
--- a/tests/test_query_execution.py
+++ b/tests/test_query_execution.py
@@ -201,7 +201,7 @@
         self.oracles: list[Oracle] = []
         self.targets: dict[str, list] = {}
         self.sequence = self.version = 0
-        self._announce(3, "abc")
+        self._add_snapshot(3, "abc")
         if not plain:
             # Small bursts, so that the budgets run out within one example.
             stats = self.policy.stats(SERVICE)
@@ -210,7 +210,7 @@
         for _ in range(60):  # enough latencies for hedging
             self.policy.on_reply(SERVICE, "a0", 0.01, True, self.now)
 
-    def _announce(self, count: int, copies: str) -> None:
+    def _add_snapshot(self, count: int, copies: str) -> None:
         self.version += 1
         for name, shard in itertools.product(copies, range(count)):
             replica = (Snapshot(self.version, count), shard)
@@ -315,7 +315,7 @@
             assert oracle.end is not None
 
     def repartition(self, pick) -> None:
-        self._announce(pick((3, 4, 2, 1)), pick(("abc", "ab", "a")))
+        self._add_snapshot(pick((3, 4, 2, 1)), pick(("abc", "ab", "a")))
 
     def drop_old_snapshots(self, pick) -> None:
         for name, held in self.targets.items():
