--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -83,23 +83,31 @@
         "a fifth of the targets slow for seconds",
         (TARGETS, "REPROBE_S, REPROBE_MAX_S", "1.0, 1.0"),
     ),
-    _mechanism("share of failures", "a target fails a part", (TARGETS, "FAILED_COST", "0.0")),
+    _mechanism(
+        "share of failures", "a target fails a part", (TARGETS, "FAILURE_COST_FACTOR", "0.0")
+    ),
     _mechanism(
         "time lost by failures, near and far",
         "a target fails a part",
-        (TARGETS, "REPEATED_COST", "0.0"),
+        (TARGETS, "FAILURE_DELAY_FACTOR", "0.0"),
+    ),
+    _mechanism(
+        "refusals for load, near and far", "targets shed", (TARGETS, "SHED_DELAY_FACTOR", "0.0")
+    ),
+    _mechanism(
+        "bounded rise of latency", "single pauses", (TARGETS, "MAX_LATENCY_RISE_FACTOR", NEVER)
     ),
-    _mechanism("refusals for load, near and far", "targets shed", (TARGETS, "SHED_COST", "0.0")),
-    _mechanism("bounded rise of latency", "single pauses", (TARGETS, "LATENCY_RISE", NEVER)),
     _mechanism("limits follow refusals", "targets shed", (TARGETS, "_SHED_FACTOR", "1.0")),
     _mechanism("limits follow queues", "demand above capacity", (TARGETS, "_QUEUED_FACTOR", "1.0")),
     _mechanism(
         "own domain first",
         "copies in several domains",
-        ("query/replicas", "LOCAL_ADVANTAGE", "1.0"),
+        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", "1.0"),
     ),
     _mechanism(
-        "slow local target passed over", "a copy slow", ("query/replicas", "LOCAL_ADVANTAGE", NEVER)
+        "slow local target passed over",
+        "a copy slow",
+        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", NEVER),
     ),
     _mechanism("overtaken requests finish", "hedges", ("connections/http_pool", "LINGER_S", "0.0")),
     _mechanism(
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -86,7 +86,9 @@
         self._budget = ConnectionBudget(ConnectionConfig(), self._clock())
         self._vm_count = 1
         self.pool = HttpPool(self._connect, self._share, self._on_room, self._on_down, self._clock)
-        self.policy = TargetPolicy(domain, extra, self.pool.has_room, lambda: self._vm_count, rng)
+        self.policy = TargetPolicy(
+            domain, extra, self.pool.has_capacity, lambda: self._vm_count, rng
+        )
         self._intake: IntakeBudget[TargetConnection] = IntakeBudget.from_memory(memory_bytes)
         self._services_of: dict[str, str] = {}
         self._incarnations: dict[str, int] = {}
@@ -156,7 +158,7 @@
         log.info("entry: target is held back", extra={"target": target_id, "hold_s": hold_s})
         self._metrics.incr("entry.holds")
         self._loop.call_at(until, self._on_room, target_id)
-        self.pool.recall(target_id)
+        self.pool.cancel_unsent(target_id)
 
     def is_far(self, target_id: str) -> bool:
         """Return whether a target is in another failure domain."""
@@ -236,7 +238,7 @@
                 self.pool.tick()
                 if turn % COUNT_TICKS == 0:
                     self._vm_count = max(1, self._source.vm_count())
-                    self._budget.on_count(self._vm_count, self._clock())
+                    self._budget.on_vm_count(self._vm_count, self._clock())
             except Exception:
                 log.exception("entry: tick failed")
             await asyncio.sleep(POOL_TICK_S)
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -94,14 +94,14 @@
 
     Parameters
     ----------
-    overtaken : bool
+    superseded : bool
         Whether another target answered first. The target may then finish, which keeps the
         connection; otherwise nobody waits any more and the connection is closed.
     """
 
     sub_id: int
     target_id: str
-    overtaken: bool
+    superseded: bool
 
 
 @attrs.frozen
