--- a/bramleycrank/scatter/__init__.py
+++ b/bramleycrank/scatter/__init__.py
@@ -1,4 +1,4 @@
-"""Execution of forwarded requests over one or many services, without I/O."""
+"""Execution of requests that are forwarded to one or several services, without I/O."""
 
 from bramleycrank.scatter.budget import ExtraBudget
 from bramleycrank.scatter.execution import ScatterExecution
--- a/bramleycrank/scatter/budget.py
+++ b/bramleycrank/scatter/budget.py
@@ -1,4 +1,4 @@
-"""Budget for sub-requests beyond the first of each request, over a sliding window."""
+"""Retry budget: bounds hedges and retries over a sliding window."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 import attrs
 
-SAFETY = 0.8
-"""Part of the budget that is used: VMs count their requests and each other with a delay."""
+SAFETY_FACTOR = 0.8
+"""Share of the budget that is used, since the VMs' counts of requests and VMs can be outdated."""
 
 
 @attrs.frozen
 class ExtraConfig:
-    """Bound that all VMs together keep for each service.
+    """Bound on the extra sub-requests of all VMs together, for each service.
 
     Parameters
     ----------
     ratio : float
-        Extra sub-requests for each request in a window.
+        Extra sub-requests allowed per request in a window.
     window_s : float
         Length of the window, in seconds.
     slack : float
-        Extra sub-requests in a window that no request needs to earn, over all VMs.
+        Extra sub-requests allowed in a window regardless of the number of requests, over all VMs.
     """
 
     ratio: float = 0.1
@@ -31,10 +31,10 @@
 
 
 class ExtraBudget:
-    """One VM's part of the budget of one service.
+    """One VM's share of the retry budget of a service.
 
-    The ratio needs no agreement, since each VM earns it with its own requests. The slack is
-    divided by the number of VMs.
+    The ratio applies to each VM's own requests and needs no coordination. The slack is divided
+    by the number of VMs.
 
     Parameters
     ----------
@@ -44,36 +44,40 @@
 
     def __init__(self, cfg: ExtraConfig) -> None:
         self._cfg = cfg
-        self._firsts: deque[float] = deque()
-        self._extras: deque[float] = deque()
+        self._request_times: deque[float] = deque()
+        self._extra_times: deque[float] = deque()
         self.denied = 0
 
     @property
     def used(self) -> int:
-        """Extra sub-requests of the last window, as of the last look."""
-        return len(self._extras)
+        """Extra sub-requests in the window that ended at the last call of `available`."""
+        return len(self._extra_times)
 
     def earn(self, now: float) -> None:
-        """Count a request."""
-        self._firsts.append(now)
+        """Count a request, which raises the budget."""
+        self._request_times.append(now)
 
     def available(self, vm_count: int, now: float) -> float:
         """Return how many extra sub-requests may be sent now."""
-        since = now - self._cfg.window_s
-        for times in (self._firsts, self._extras):
-            while times and times[0] < since:
+        window_start = now - self._cfg.window_s
+        for times in (self._request_times, self._extra_times):
+            while times and times[0] < window_start:
                 times.popleft()
-        earned = self._cfg.ratio * len(self._firsts) + self._cfg.slack / max(1, vm_count)
-        return SAFETY * earned - len(self._extras)
+        allowed = self._cfg.ratio * len(self._request_times) + self._cfg.slack / max(1, vm_count)
+        return SAFETY_FACTOR * allowed - len(self._extra_times)
 
     def take(self, vm_count: int, now: float) -> bool:
-        """Take one extra sub-request; False if none is left."""
+        """Spend budget on one extra sub-request; return False if none is left."""
         if self.available(vm_count, now) < 1:
             self.denied += 1
             return False
-        self._extras.append(now)
+        self._extra_times.append(now)
         return True
 
     def dump(self) -> dict[str, Any]:
-        """Return what was counted in the window."""
-        return {"requests": len(self._firsts), "extra": len(self._extras), "denied": self.denied}
+        """Return the counts of the window, and all denied extra sub-requests so far."""
+        return {
+            "requests": len(self._request_times),
+            "extra": len(self._extra_times),
+            "denied": self.denied,
+        }
--- a/bramleycrank/scatter/delivery.py
+++ b/bramleycrank/scatter/delivery.py
@@ -1,4 +1,4 @@
-"""How long a caller has waited when its request arrives, and how long its answer travels."""
+"""Estimates of network delays between callers and this VM."""
 
 from __future__ import annotations
 
@@ -9,40 +9,41 @@
 from bramleycrank.routing import Route
 
 ROUND_TRIP_S = 0.006
-"""Round trip to a caller whose connection does not tell it, in seconds."""
+"""Round trip to a caller if its connection has no measurement, in seconds."""
 
-FULL_WAIT_MEMORY_S = 30.0
-"""Length of a period, in seconds; the longest wait told in this one and the last one counts."""
+TIMEOUT_PERIOD_S = 30.0
+"""Length of a period, in seconds; the longest timeout of this and the previous period counts."""
 
-FIRST_ANSWER_BYTES = 2000
-"""Size of the answer of a route that has not been answered yet, in bytes."""
+DEFAULT_ANSWER_BYTES = 2000
+"""Assumed answer size of a route without any answer so far, in bytes."""
 
-SIZE_WEIGHT = 0.2
-"""Weight of one answer in the usual size of a route's answers."""
+ANSWER_SIZE_WEIGHT = 0.2
+"""Weight of a new answer in the moving average of a route's answer sizes."""
 
 
 @attrs.define
-class _Longest:
-    """Longest wait told in the current and in the previous period."""
+class _LongestTimeout:
+    """Longest caller timeout of the current and of the previous period."""
 
     since: float
     current_s: float = 0.0
     previous_s: float = 0.0
 
-    def add(self, wait_s: float, now: float) -> float:
-        if now - self.since > FULL_WAIT_MEMORY_S:
-            fresh = now - self.since <= 2 * FULL_WAIT_MEMORY_S
-            self.previous_s = self.current_s if fresh else 0.0
+    def add(self, timeout_s: float, now: float) -> float:
+        if now - self.since > TIMEOUT_PERIOD_S:
+            consecutive = now - self.since <= 2 * TIMEOUT_PERIOD_S
+            self.previous_s = self.current_s if consecutive else 0.0
             self.since, self.current_s = now, 0.0
-        self.current_s = max(self.current_s, wait_s)
+        self.current_s = max(self.current_s, timeout_s)
         return max(self.current_s, self.previous_s)
 
 
 class DeliveryEstimate:
-    """What the answers of each route take on their way besides the work on them.
+    """Estimates the time that requests and answers of each route spend on the network.
 
-    Load pattern: objectives of some tens of milliseconds, new connections and thin links. What is
-    given at the last moment by this VM's clock reaches the caller too late.
+    Load pattern: objectives of some tens of milliseconds, new connections and links of low
+    bandwidth. An answer sent just before the objective by this VM's clock reaches the caller too
+    late.
 
     Parameters
     ----------
@@ -52,36 +53,47 @@
 
     def __init__(self, link_bytes_per_s: float = 0.0) -> None:
         self._link_bytes_per_s = link_bytes_per_s
-        self._waits: dict[str, _Longest] = {}
-        self._sizes: dict[str, float] = {}
+        self._timeouts: dict[str, _LongestTimeout] = {}
+        self._average_bytes: dict[str, float] = {}
 
     def retain(self, names: Collection[str]) -> None:
-        """Forget the routes that are not among these."""
-        for known in (self._waits, self._sizes):
-            for name in known.keys() - set(names):
-                del known[name]
-
-    def passed(self, route: Route, wait_s: float | None, now: float) -> float:
-        """Return the time that had passed for the caller when it sent the request, in seconds.
-
-        The callers of a route wait equally long in all, so that one who waits less than the others
-        has opened a connection or tried before. Beyond the objective nothing is concluded from it:
-        such a caller may as well be one that waits less.
+        """Remove the state of all routes except the named ones."""
+        for by_route in (self._timeouts, self._average_bytes):
+            for name in by_route.keys() - set(names):
+                del by_route[name]
+
+    def passed(self, route: Route, timeout_s: float | None, now: float) -> float:
+        """Return how long the caller had waited before it sent the request, in seconds.
+
+        Callers of a route are assumed to have the same timeout. A request with less time left than
+        others was preceded by the opening of a connection or by an earlier attempt. Differences
+        that exceed the objective are ignored, because such a caller may have a shorter timeout.
+
+        Parameters
+        ----------
+        route : Route
+            The route of the request.
+        timeout_s : float or None
+            Time that the caller will still wait, in seconds; None if it stated none.
+        now : float
+            Current time in seconds.
         """
-        if wait_s is None:
+        if timeout_s is None:
             return 0.0
-        longest = self._waits.setdefault(route.name, _Longest(now)).add(wait_s, now)
-        passed_s = longest - wait_s
-        return passed_s if passed_s < route.objective_s else 0.0
+        longest = self._timeouts.setdefault(route.name, _LongestTimeout(now)).add(timeout_s, now)
+        elapsed_s = longest - timeout_s
+        return elapsed_s if elapsed_s < route.objective_s else 0.0
 
     def way(self, route: Route, round_trip_s: float | None) -> float:
-        """Return the time that a request and its answer travel, in seconds."""
-        way_s = ROUND_TRIP_S if round_trip_s is None else round_trip_s
+        """Return the network time of a request and its answer, in seconds."""
+        network_s = ROUND_TRIP_S if round_trip_s is None else round_trip_s
         if self._link_bytes_per_s:
-            way_s += self._sizes.get(route.name, FIRST_ANSWER_BYTES) / self._link_bytes_per_s
-        return way_s
-
-    def on_answer(self, route: Route, size: int) -> None:
-        """Note the size of an answer, in bytes."""
-        known = self._sizes.get(route.name, size)
-        self._sizes[route.name] = known + (size - known) * SIZE_WEIGHT
+            network_s += (
+                self._average_bytes.get(route.name, DEFAULT_ANSWER_BYTES) / self._link_bytes_per_s
+            )
+        return network_s
+
+    def on_answer(self, route: Route, size_bytes: int) -> None:
+        """Record the size of an answer, in bytes."""
+        average = self._average_bytes.get(route.name, size_bytes)
+        self._average_bytes[route.name] = average + (size_bytes - average) * ANSWER_SIZE_WEIGHT
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -1,4 +1,4 @@
-"""Choice of targets, hedge times and budgets for forwarded requests."""
+"""Target selection, hedge delays and retry budgets for forwarded requests."""
 
 from __future__ import annotations
 
@@ -11,57 +11,57 @@
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot as SnapshotKey
 from bramleycrank.scatter.budget import ExtraBudget, ExtraConfig
-from bramleycrank.scatter.returns import spread, until_enough, until_ready
+from bramleycrank.scatter.returns import combined_retry_after, service_retry_after, spread
 from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
 
-WHOLE = SnapshotKey(1, 1)
-"""Snapshot that every target of a forwarded service holds: the service is one shard."""
+SINGLE_SHARD = SnapshotKey(1, 1)
+"""Snapshot assigned to every target of a forwarded service, which is a single shard."""
 
 WHOLE_REPLICAS = (Replica(snapshot=Snapshot(version=1, shard_count=1), shard=0),)
-"""The same as a target announces it."""
+"""The same snapshot in the form of a target's report."""
 
 MIN_SAMPLES = 30
-"""Answers before the observed latencies of a route decide when to hedge."""
+"""Replies needed before the observed latencies of a route determine its hedge delay."""
 
 HEDGE_QUANTILE = 0.92
-"""Quantile of a route's sub-request latency after which a second target is asked."""
+"""Quantile of a route's sub-request latency that is used as hedge delay."""
 
 SCARCE_QUANTILE = 0.98
-"""The same for a single target while the budget is scarce, so that the rest goes to stragglers."""
+"""The same for a single shard while the budget is scarce, to reserve it for stragglers."""
 
 LATEST_HEDGE_SHARE = 0.4
-"""Part of the latency objective after which to hedge at the latest, or while nothing is known.
+"""Maximum hedge delay as a share of the latency objective; also used until latencies are known.
 
-The second target needs the rest of the time to answer within the objective.
+The second target needs the remaining time to reply within the objective.
 """
 
 UNKNOWN_HEDGE_S = 0.1
-"""Time after which to hedge while nothing is known, in seconds."""
+"""Hedge delay of a route without an objective until its latencies are known, in seconds."""
 
 
 class ScatterPolicy(Protocol):
-    """What the execution of a request asks and reports."""
+    """Interface between the execution of a request and the policy."""
 
     def choose(self, service: str, tried: Collection[str], now: float) -> str | None:
-        """Return the target for a sub-request, or None if none has room."""
+        """Return the target for a sub-request, or None if none has free capacity."""
 
     def has_targets(self, service: str, tried: Collection[str], now: float) -> bool:
-        """Return whether the service has a target that was not tried, busy or not."""
+        """Return whether the service has an untried target, busy or not."""
 
     def return_after(self, services: Sequence[str], needed: int, now: float) -> float:
-        """Return the time in seconds until some of the services should take work again."""
+        """Return the time in seconds until enough of the services should accept requests."""
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
-        """Return the time in seconds after which to ask a second target."""
+        """Return the delay in seconds after which to send a hedge."""
 
     def is_scarce(self, service: str, now: float) -> bool:
-        """Return whether less than half of the budget of a service is left."""
+        """Return whether the remaining budget of a service is less than half of the used part."""
 
     def take_extra(self, service: str, now: float) -> bool:
-        """Take one extra sub-request from the budget."""
+        """Spend budget on one extra sub-request; return False if none is left."""
 
     def on_request(self, service: str, now: float) -> None:
-        """Count a request for a service, which earns budget."""
+        """Count a request for a service, which raises its budget."""
 
     def on_sent(self, target_id: str, now: float) -> None:
         """Count a sub-request in flight."""
@@ -69,26 +69,26 @@
     def on_answer(
         self, route: str, target_id: str, answer: TargetAnswer, latency_s: float, now: float
     ) -> None:
-        """Count an answer that is used."""
+        """Record a reply that is used."""
 
     def on_failure(self, target_id: str, failure: SubFailure, now: float) -> None:
-        """Count a failure."""
+        """Record a failure."""
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        """Count the time after which a sub-request was overtaken by another one."""
+        """Record the time after which a sub-request was overtaken by another one."""
 
 
 class TargetPolicy:
-    """The policy for the targets that the registry knows.
+    """Policy that uses the targets of the registry.
 
     Parameters
     ----------
     domain : str
-        Failure domain of this VM; its targets come first.
+        Failure domain of this VM, whose targets are preferred.
     extra : ExtraConfig
         Bound for extra sub-requests.
     has_room : callable
-        Returns whether a target can take one more sub-request of this VM.
+        Returns whether this VM may send one more sub-request to a target.
     vm_count : callable
         Returns the number of VMs that share the budget.
     rng : random.Random
@@ -116,46 +116,49 @@
         self.table.update(service, records, now)
 
     def choose(self, service: str, tried: Collection[str], now: float) -> str | None:
-        """Return the target for a sub-request, or None if none has room.
+        """Return the target for a sub-request, or None if none has free capacity.
 
-        Load pattern: demand above capacity. The concurrency limits keep the queues at the targets
-        short; what waits does so here, where the order can be chosen and nothing has run yet.
+        Load pattern: overload. Concurrency limits keep the queues at the targets short. Requests
+        wait on this VM instead, where they can be ordered and have not run yet.
         """
         exclude = set(tried)
-        while (target_id := self.table.choose(service, WHOLE, 0, exclude, now)) is not None:
+        while (target_id := self.table.choose(service, SINGLE_SHARD, 0, exclude, now)) is not None:
             if self.table.has_room(target_id) and self._has_room(target_id):
                 return target_id
             exclude.add(target_id)
         return None
 
     def has_targets(self, service: str, tried: Collection[str], now: float) -> bool:
-        """Return whether a target that can be asked was not tried, busy or not."""
+        """Return whether a usable target was not tried yet, busy or not."""
         return any(
             not t.down and t.held_until <= now and t.target_id not in tried
-            for t in self.table.replicas(service, WHOLE, 0)
+            for t in self.table.replicas(service, SINGLE_SHARD, 0)
         )
 
     def is_served(self, service: str) -> bool:
         """Return whether a target of the service can be reached, also one that is held back."""
-        return any(not t.down for t in self.table.replicas(service, WHOLE, 0))
+        return any(not t.down for t in self.table.replicas(service, SINGLE_SHARD, 0))
 
     def return_after(self, services: Sequence[str], needed: int, now: float) -> float:
-        """Return the time in seconds until some of the services should take work again.
+        """Return the time in seconds until enough of the services should accept requests.
 
         Parameters
         ----------
         services : sequence of str
-            Services without which the request cannot be answered.
+            Services whose replies are missing.
         needed : int
-            How many of them an answer needs.
+            Number of them that an answer needs.
         now : float
             Current time in seconds.
         """
-        waits_s = [until_ready(self.table.replicas(name, WHOLE, 0), now) for name in services]
-        return spread(until_enough(waits_s, needed), self._rng)
+        waits_s = [
+            service_retry_after(self.table.replicas(name, SINGLE_SHARD, 0), now)
+            for name in services
+        ]
+        return spread(combined_retry_after(waits_s, needed), self._rng)
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
-        """Return the time in seconds after which to ask a second target.
+        """Return the delay in seconds after which to send a hedge.
 
         Parameters
         ----------
@@ -164,7 +167,7 @@
         objective_s : float
             Latency objective in seconds; 0 if there is none.
         scarce : bool
-            Whether the budget is to be kept for the slowest.
+            Whether to save the budget for the slowest sub-requests.
         """
         latency = self._latencies.get(route)
         if latency is None or latency.samples < MIN_SAMPLES:
@@ -172,20 +175,20 @@
         if scarce:
             return latency.quantile(SCARCE_QUANTILE)
         delay_s = latency.quantile(HEDGE_QUANTILE)
-        # Slow targets raise the quantile just when a second one is needed in time.
+        # Slow targets raise the quantile, so that a hedge could be sent too late for the objective.
         return min(delay_s, objective_s * LATEST_HEDGE_SHARE) if objective_s else delay_s
 
     def is_scarce(self, service: str, now: float) -> bool:
-        """Return whether less than half of the budget of a service is left."""
+        """Return whether the remaining budget of a service is less than half of the used part."""
         budget = self._budget(service)
         return budget.available(self._vm_count(), now) * 2 < budget.used
 
     def take_extra(self, service: str, now: float) -> bool:
-        """Take one extra sub-request from the budget."""
+        """Spend budget on one extra sub-request; return False if none is left."""
         return self._budget(service).take(self._vm_count(), now)
 
     def on_request(self, service: str, now: float) -> None:
-        """Count a request for a service, which earns budget."""
+        """Count a request for a service, which raises its budget."""
         self._budget(service).earn(now)
 
     def on_sent(self, target_id: str, now: float) -> None:
@@ -195,7 +198,7 @@
     def on_answer(
         self, route: str, target_id: str, answer: TargetAnswer, latency_s: float, now: float
     ) -> None:
-        """Count an answer that is used."""
+        """Record a reply that is used."""
         self._latency(route).record(latency_s)
         self.table.on_reply(target_id, latency_s, now)
         if answer.load is not None:
@@ -204,37 +207,37 @@
                 self.table.on_queued(target_id, now)
 
     def on_failure(self, target_id: str, failure: SubFailure, now: float) -> None:
-        """Count a failure."""
+        """Record a failure."""
         if failure.kind is FailureKind.REFUSED:
             self.table.on_shed(target_id, now)
         else:
             self.table.on_failure(target_id, now)
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        """Count the time after which a sub-request was overtaken by another one.
+        """Record the time after which a sub-request was overtaken by another one.
 
-        The time counts as a latency, as a lower bound; without it the estimate would lose its tail
-        to the hedges, and the hedge time would shrink with every hedge.
+        The time is recorded as a latency, of which it is a lower bound. Otherwise hedges would hide
+        the slow replies from the estimate, and the hedge delay would shrink with every hedge.
         """
         self._latency(route).record(elapsed_s)
 
     def on_given_up(
         self, target_id: str, latency_s: float | None, now: float, *, silent: bool
     ) -> None:
-        """Count that a cancelled sub-request occupies its target no more.
+        """Record that a cancelled sub-request no longer occupies its target.
 
-        It counts as in flight until then, so that a target that pauses gets no further ones.
+        It counts as in flight until then, so that a target that stalls gets no further ones.
 
         Parameters
         ----------
         target_id : str
             The target.
         latency_s : float or None
-            Time of its late answer, in seconds; None if there was none.
+            Latency of its late reply, in seconds; None if there was none.
         now : float
             Current time in seconds.
         silent : bool
-            Whether the target had its time and did not answer.
+            Whether the target did not reply within the time allowed.
         """
         if latency_s is not None:
             self.table.on_reply(target_id, latency_s, now)
--- a/bramleycrank/scatter/progress.py
+++ b/bramleycrank/scatter/progress.py
@@ -11,7 +11,7 @@
 
 @attrs.define(eq=False)
 class Sub:
-    """A sub-request without an end."""
+    """A sub-request that has not ended."""
 
     sub_id: int
     target_id: str
@@ -20,7 +20,7 @@
 
 @attrs.define(eq=False)
 class Shard:
-    """One service of the request."""
+    """Progress of the request at one service."""
 
     service: str
     open: list[Sub] = attrs.field(factory=list)
--- a/bramleycrank/scatter/stream.py
+++ b/bramleycrank/scatter/stream.py
@@ -1,32 +1,32 @@
-"""Whether the answers of a gathered request are still coming in, one after the other."""
+"""Detection of part replies that still arrive in a steady stream."""
 
 from __future__ import annotations
 
 import attrs
 
 STRAGGLER_SHARE = 0.25
-"""Part of the shards up to which those without an answer are stragglers, not a stream."""
+"""Maximum share of missing shards that are treated as stragglers rather than part of a stream."""
 
-STREAM_GAP = 4.0
-"""Time without an answer after which a stream of them has stopped, in times of their spacing."""
+STREAM_GAP_FACTOR = 4.0
+"""Time without a reply after which a stream has stopped, as a multiple of the mean spacing."""
 
 LATEST_STREAM_SHARE = 0.5
-"""Part of the latency objective after which a stream is not waited for; hedges need the rest."""
+"""Share of the latency objective for which hedges may wait for a stream; they need the rest."""
 
 
 @attrs.define
 class AnswerStream:
-    """Answers of one request as they arrive.
+    """Arrival times of the replies to one request.
 
-    Load pattern: many shards behind a thin link or a slow processor. The parts that have not come
-    yet are on their way; second ones would queue behind them and make all of them later.
+    Load pattern: many shards behind a link of low bandwidth or a slow processor. The missing
+    replies are in transit; hedges would queue behind them and delay all of them.
 
     Parameters
     ----------
     shards : int
-        Number of answers to expect.
+        Number of replies to expect.
     latest : float
-        Time until which a stream is waited for, in seconds.
+        Time until which hedges wait for the stream, in seconds.
     """
 
     shards: int
@@ -36,22 +36,22 @@
     last_at: float = 0.0
 
     def on_answer(self, now: float) -> None:
-        """Count an answer."""
+        """Count a reply."""
         if not self.count:
             self.first_at = now
         self.count += 1
         self.last_at = now
 
     def until(self, lost: int) -> float:
-        """Return the time until which the next answer is expected to come by itself.
+        """Return when the next reply should have come without a hedge; 0 if there is no stream.
 
         Parameters
         ----------
         lost : int
-            Shards that will not answer.
+            Number of shards that will not reply.
         """
         missing = self.shards - self.count - lost
         if self.count < 2 or missing <= STRAGGLER_SHARE * self.shards:
             return 0.0
         spacing_s = (self.last_at - self.first_at) / (self.count - 1)
-        return min(self.last_at + STREAM_GAP * spacing_s, self.latest)
+        return min(self.last_at + STREAM_GAP_FACTOR * spacing_s, self.latest)
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -1,4 +1,4 @@
-"""Answers, failures and actions of a forwarded request."""
+"""Replies, failures and actions of a forwarded request."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class FailureKind(enum.StrEnum):
-    """Why a sub-request ended without a usable answer."""
+    """Why a sub-request ended without a usable reply."""
 
     NOT_SENT = "not_sent"  # no byte left this VM; it did not run
-    REFUSED = "refused"  # the target says that it did not run, for load or time
+    REFUSED = "refused"  # the target refused it for load or deadline; it did not run
     WRONG_TARGET = "wrong_target"  # another incarnation is at the address; it did not run
-    LOST = "lost"  # the connection ended before a whole answer; it may have run
-    GARBLED = "garbled"  # bytes that are no answer to this request; it may have run
-    ERROR = "error"  # the target answered with a failure of its own; it ran
+    LOST = "lost"  # the connection ended before a complete reply; it may have run
+    GARBLED = "garbled"  # the response is not a valid reply to this request; it may have run
+    ERROR = "error"  # the target replied with an error of its own; it ran
 
 
 NOT_RUN_KINDS = frozenset({FailureKind.NOT_SENT, FailureKind.REFUSED, FailureKind.WRONG_TARGET})
@@ -27,20 +27,20 @@
 
 @attrs.frozen(eq=False)
 class TargetAnswer:
-    """A whole answer of a target, as it came.
+    """A complete reply of a target, unchanged.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        All headers, those of the connection included.
+        All headers, hop-by-hop headers included.
     body : bytes
-        Whole body.
+        Complete body.
     receipt : bytes
-        Proof of the run that the target gave; empty if none.
+        The target's proof that it ran the request; empty if none.
     load : LoadReport or None
-        What the target said of its load.
+        Load that the target reported with the reply.
     """
 
     status: int
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class SubFailure:
-    """Why a sub-request failed, with the target's own answer if there is one."""
+    """Why a sub-request failed, with the target's reply if there is one."""
 
     kind: FailureKind
     answer: TargetAnswer | None = None
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class Part:
-    """The answer of one shard."""
+    """The reply of one shard."""
 
     service: str
     receipt: bytes
@@ -74,12 +74,12 @@
 
 @attrs.frozen
 class Forward:
-    """Send the request to a target; answer with `on_answer` or `on_failure`.
+    """Send the request to a target; its end is reported to `on_answer` or `on_failure`.
 
     Parameters
     ----------
     deadline : float
-        When the caller stops waiting, in seconds.
+        Time at which the caller stops waiting, in seconds.
     """
 
     sub_id: int
@@ -95,8 +95,8 @@
     Parameters
     ----------
     overtaken : bool
-        Whether another target answered first. The target may then finish, which keeps the
-        connection; otherwise nobody waits any more and the connection is closed.
+        Whether another target replied first. The target may then finish, which keeps the
+        connection open; otherwise the connection is closed.
     """
 
     sub_id: int
@@ -106,14 +106,14 @@
 
 @attrs.frozen
 class Answer:
-    """Pass a target's answer on to the caller."""
+    """Answer the caller with a target's reply."""
 
     answer: TargetAnswer
 
 
 @attrs.frozen
 class Merged:
-    """Give the caller the greatest records of the parts."""
+    """Answer the caller with the greatest records of all parts."""
 
     parts: tuple[Part, ...]
     missing: int
@@ -122,16 +122,16 @@
 
 @attrs.frozen
 class Refusal:
-    """Give the caller an error of this VM.
+    """Answer the caller with an error of this VM.
 
     Parameters
     ----------
     not_run : bool
-        Whether the request is proved not to have run, and never will.
+        Whether the request is known not to have run and will not run later.
     reason : str
-        Why, for the log.
+        Reason for the log.
     retry_after_s : float
-        When to come back, in seconds; 0 if unknown.
+        Time after which the caller may retry, in seconds; 0 if unknown.
     """
 
     not_run: bool
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -1,4 +1,4 @@
-"""A policy with scripted targets, and builders, for tests of forwarded requests."""
+"""Fake policy and builders of routes, replies and executions for tests of forwarded requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def gather_route(shards: int = 4, **fields: object) -> Route:
-    """Return a route over shards s0, s1 and so on."""
+    """Return a gather route over shards named s0, s1 and so on."""
     defaults = {
         "name": "search",
         "prefix": "/s/",
@@ -27,7 +27,7 @@
 
 
 def single_route(**fields: object) -> Route:
-    """Return a route to one service."""
+    """Return a route to a single service."""
     defaults = {
         "name": "record",
         "prefix": "/r/",
@@ -44,51 +44,53 @@
 
 
 def answer(status: int = 200, body: bytes = b"", receipt: bytes = b"r") -> TargetAnswer:
-    """Return an answer of a target."""
+    """Return a reply of a target."""
     return TargetAnswer(status, [], body, receipt)
 
 
 class FakePolicy:
-    """Targets in a fixed order, with a budget and a hedge time that tests set."""
+    """Targets in a fixed order, with a retry budget and a hedge delay that tests set."""
 
-    def __init__(self, targets: int = 3, hedge_s: float = 0.05, extra: int = 100) -> None:
+    def __init__(
+        self, targets: int = 3, hedge_delay_s: float = 0.05, extra_left: int = 100
+    ) -> None:
         self.targets = targets
-        self.hedge_s = hedge_s
-        self.extra = extra
+        self.hedge_delay_s = hedge_delay_s
+        self.extra_left = extra_left
         self.scarce = False
-        self.choices = 0
+        self.choose_calls = 0
         self.busy: set[str] = set()
-        self.absent: set[str] = set()  # services without a target
+        self.services_without_targets: set[str] = set()  # services without targets
         self.sent: list[str] = []
         self.failures: list[tuple[str, str]] = []
         self.overtaken: list[float] = []
 
-    def names(self, service: str) -> list[str]:
+    def target_ids(self, service: str) -> list[str]:
         """Return the targets of a service."""
-        if service in self.absent:
+        if service in self.services_without_targets:
             return []
         return [f"{service}-{number}" for number in range(self.targets)]
 
     def choose(self, service: str, tried: Collection[str], now: float) -> str | None:
-        self.choices += 1
-        left = [n for n in self.names(service) if n not in tried and n not in self.busy]
-        return left[0] if left else None
+        self.choose_calls += 1
+        usable = [n for n in self.target_ids(service) if n not in tried and n not in self.busy]
+        return usable[0] if usable else None
 
     def has_targets(self, service: str, tried: Collection[str], now: float) -> bool:
-        return any(name not in tried for name in self.names(service))
+        return any(name not in tried for name in self.target_ids(service))
 
     def return_after(self, services: list[str], needed: int, now: float) -> float:
         return 0.2
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
-        return self.hedge_s
+        return self.hedge_delay_s
 
     def is_scarce(self, service: str, now: float) -> bool:
         return self.scarce
 
     def take_extra(self, service: str, now: float) -> bool:
-        self.extra -= 1
-        return self.extra >= 0
+        self.extra_left -= 1
+        return self.extra_left >= 0
 
     def on_request(self, service: str, now: float) -> None:
         pass
@@ -107,7 +109,7 @@
 
 
 def begin(route: Route, policy: FakePolicy, deadline: float = 2.0):
-    """Start an execution at time 0; return it with its sub-requests by service."""
+    """Start an execution at time 0; return it, its sub-requests by service and its actions."""
     execution = ScatterExecution(route, policy, itertools.count(1), 0.0, deadline)
     actions = execution.start(0.0)
     return execution, {a.service: a for a in actions if isinstance(a, Forward)}, actions
--- a/tests/test_scatter_delivery.py
+++ b/tests/test_scatter_delivery.py
@@ -1,4 +1,4 @@
-"""When an answer has to leave so that it reaches its caller within the objective."""
+"""Network time of answers, and when to send one so that it meets the objective."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from scatter_fakes import FakePolicy, answer, gather_route
 
 from bramleycrank.scatter import Forward, Merged, ScatterExecution
-from bramleycrank.scatter.delivery import FULL_WAIT_MEMORY_S, ROUND_TRIP_S, DeliveryEstimate
+from bramleycrank.scatter.delivery import ROUND_TRIP_S, TIMEOUT_PERIOD_S, DeliveryEstimate
 
 ROUTE = gather_route(objective_s=0.074)
 
 
-def test_the_way_holds_the_round_trip_and_the_bytes_on_the_link():
+def test_network_time_includes_the_round_trip_and_the_transmission():
     """Load pattern: answers of 1,750 bytes over a link of 7 Mbit/s take 2 ms."""
     estimate = DeliveryEstimate(link_bytes_per_s=7e6 / 8)
     for _ in range(40):
@@ -22,30 +22,30 @@
     assert DeliveryEstimate().way(ROUTE, None) == ROUND_TRIP_S
 
 
-def test_a_caller_that_waits_less_than_the_others_has_waited_before():
-    """Load pattern: callers open connections for some requests, which takes a round trip."""
+def test_a_shorter_timeout_than_usual_counts_as_time_already_spent():
+    """Load pattern: some requests need a new connection, which takes a round trip."""
     estimate = DeliveryEstimate()
     assert estimate.passed(ROUTE, 1.08, 0.0) == 0.0
     assert estimate.passed(ROUTE, 1.073, 1.0) == pytest.approx(0.007)
     assert estimate.passed(ROUTE, 1.08, 2.0) == 0.0
 
 
-def test_nothing_is_concluded_from_a_caller_that_does_not_say_or_waits_much_less():
+def test_a_missing_or_much_shorter_timeout_is_ignored():
     estimate = DeliveryEstimate()
     estimate.passed(ROUTE, 1.08, 0.0)
     assert estimate.passed(ROUTE, None, 1.0) == 0.0
     assert estimate.passed(ROUTE, 0.5, 1.0) == 0.0
 
 
-def test_a_route_whose_callers_wait_less_from_now_on_is_learnt_anew():
+def test_a_lasting_decrease_of_caller_timeouts_is_adopted():
     estimate = DeliveryEstimate()
     estimate.passed(ROUTE, 1.08, 0.0)
     for step in range(5):
-        passed_s = estimate.passed(ROUTE, 1.04, step * FULL_WAIT_MEMORY_S * 0.9)
-    assert passed_s == 0.0
+        elapsed_s = estimate.passed(ROUTE, 1.04, step * TIMEOUT_PERIOD_S * 0.9)
+    assert elapsed_s == 0.0
 
 
-def test_routes_that_are_gone_are_forgotten():
+def test_state_of_removed_routes_is_deleted():
     estimate = DeliveryEstimate()
     estimate.passed(ROUTE, 1.08, 0.0)
     estimate.retain({ROUTE.name})
@@ -54,8 +54,8 @@
     assert estimate.passed(ROUTE, 1.04, 2.0) == 0.0
 
 
-def test_an_answer_leaves_early_enough_for_its_way():
-    """Load pattern: one shard pauses, and the answer without it has to be in time."""
+def test_an_answer_is_sent_early_enough_for_its_network_time():
+    """Load pattern: one shard stalls; the answer without it must meet the objective."""
     route = gather_route()
     execution = ScatterExecution(route, FakePolicy(), itertools.count(1), 0.0, 2.0, 0.02)
     subs = {a.service: a for a in execution.start(0.0) if isinstance(a, Forward)}
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -1,4 +1,4 @@
-"""When a second target is asked, replayed on the policy."""
+"""Hedge delays, concurrency limits and the order of waiting requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def policy_after(slow_share: float, slow_s: float = 0.3) -> TargetPolicy:
-    """Return a policy that saw 500 answers of 20 ms, with a share of slow ones."""
+    """Return a policy after 500 replies of 20 ms, some of them slow."""
     policy = TargetPolicy("a", ExtraConfig(0.2, 10.0, 58.0), lambda _: True, lambda: 8, RNG)
     record = TargetRecord(
         target_id="t", service="s", state=TARGET_STATE_SERVING, slots=2, replicas=WHOLE_REPLICAS
@@ -34,18 +34,18 @@
 RNG = random.Random(2)
 
 
-def test_ordinary_answers_are_not_hedged():
+def test_the_hedge_delay_exceeds_the_usual_latency():
     delay_s = policy_after(0.02).hedge_delay("route", OBJECTIVE_S, scarce=False)
     assert 0.02 <= delay_s < 0.025
 
 
-def test_with_a_fifth_of_slow_targets_the_hedge_still_comes_in_time():
-    """Load pattern: 6 of 30 targets become 8 times slower, so the quantile lies among them."""
+def test_the_hedge_delay_stays_short_when_a_fifth_of_the_replies_is_slow():
+    """Load pattern: 6 of 30 targets become 8 times slower, so the quantile is a slow latency."""
     delay_s = policy_after(0.2).hedge_delay("route", OBJECTIVE_S, scarce=False)
     assert delay_s <= OBJECTIVE_S / 2
 
 
-def test_without_budget_hedges_wait_for_the_slowest():
+def test_a_scarce_budget_raises_the_hedge_delay():
     policy = policy_after(0.2)
     assert not policy.is_scarce("s", 5.0)
     while policy.take_extra("s", 5.0):
@@ -54,12 +54,12 @@
     assert policy.hedge_delay("route", OBJECTIVE_S, scarce=True) > OBJECTIVE_S
 
 
-def test_a_route_without_objective_hedges_at_the_quantile():
+def test_without_an_objective_the_hedge_delay_is_the_quantile():
     assert policy_after(0.2).hedge_delay("route", 0.0, scarce=False) > 0.25
 
 
-def test_queues_at_a_target_lower_the_limit_until_requests_wait_here():
-    """Load pattern: demand above capacity, told by the load report of each answer."""
+def test_a_queue_at_a_target_lowers_its_concurrency_limit():
+    """Load pattern: overload, which is visible in the load report of each reply."""
     policy = TargetPolicy("a", ExtraConfig(), lambda _: True, lambda: 8, random.Random(1))
     record = TargetRecord(
         target_id="t",
@@ -81,10 +81,10 @@
         policy.on_answer("route", "t", TargetAnswer(200, [], b"", b"r", queued), 0.1, now)
         policy.on_sent("t", now)
     assert policy.choose("s", (), 30.0) is None
-    assert policy.has_targets("s", (), 30.0), "it waits, and is not given up"
+    assert policy.has_targets("s", (), 30.0), "the request must wait, not fail"
 
 
-def test_under_overload_the_newest_request_that_can_be_on_time_goes_first():
+def test_waiting_requests_are_ordered_by_lateness_then_rank_then_newest():
     policy = FakePolicy(targets=1)
     policy.busy = {"records-0"}
     executions = {
