--- a/bramleycrank/routing/__init__.py
+++ b/bramleycrank/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routes of the HTTP entry, without I/O."""
+"""Route tables of the HTTP entry, without I/O."""
 
 from bramleycrank.routing.table import Limits, Route, RouteIndex
 from bramleycrank.routing.validation import check_routes
--- a/bramleycrank/routing/packing.py
+++ b/bramleycrank/routing/packing.py
@@ -1,4 +1,4 @@
-"""Route tables as they travel: compressed, since every VM gets each version of them."""
+"""Compression of route tables, since each version is sent to every VM."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from bramleycrank.proto.log_pb2 import RouteTable
 
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-"""Largest table that is unpacked; operators may send 8 MiB, which decoding about doubles."""
+"""Maximum size of an uncompressed table; operators may send 8 MiB, which decoding about doubles."""
 
 
 def pack(table: RouteTable) -> RouteTable:
-    """Return a table that has only its version and its compressed content."""
+    """Return a table that consists of the version and the compressed content."""
     content = table.SerializeToString(deterministic=True)
     return RouteTable(version=table.version, packed=zlib.compress(content))
 
 
 def unpack(table: RouteTable) -> RouteTable:
-    """Return the whole table; one that is not packed is returned as it is.
+    """Return the uncompressed table; a table that is not packed is returned unchanged.
 
     Raises
     ------
     ValueError
-        The content is damaged or too large.
+        If the content is damaged or too large.
     """
     if not table.packed:
         return table
@@ -32,12 +32,15 @@
     except zlib.error as exc:
         raise ValueError(f"route table {table.version}: {exc}") from exc
     if not decoder.eof:
-        raise ValueError(f"route table {table.version} is cut off or too large")
+        raise ValueError(f"route table {table.version} is truncated or too large")
     return RouteTable.FromString(content)
 
 
-def same_content(one: RouteTable, other: RouteTable) -> bool:
-    """Return whether two tables are the same; other versions of zlib compress differently."""
-    if one.packed == other.packed and one.document == other.document:
+def same_content(first: RouteTable, second: RouteTable) -> bool:
+    """Return whether two tables have the same content, however they are compressed.
+
+    Versions of zlib differ in their output, so equal tables may be packed differently.
+    """
+    if first.packed == second.packed and first.document == second.document:
         return True
-    return unpack(one).document == unpack(other).document
+    return unpack(first).document == unpack(second).document
--- a/bramleycrank/routing/table.py
+++ b/bramleycrank/routing/table.py
@@ -1,4 +1,4 @@
-"""Lookup of the route of a request, and the choice among weighted services."""
+"""Route lookup and weighted selection of services."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from bramleycrank.proto.log_pb2 import RouteTable
 
 DEFAULT_HEADER_BYTES = 16 * 1024
-"""Limit for the head of a request while the table names none, in bytes."""
+"""Default limit for the header section of a request, in bytes."""
 
 DEFAULT_BODY_BYTES = 256 * 1024
-"""Limit for the body of a request while the table names none, in bytes."""
+"""Default limit for the body of a request, in bytes."""
 
 DEFAULT_HEADER_TIMEOUT_S = 3.0
-"""Time for the head of a request while the table names none, in seconds."""
+"""Default time limit for the header section of a request, in seconds."""
 
 DEFAULT_IDLE_TIMEOUT_S = 15.0
-"""Idle time of a caller's connection while the table names none, in seconds."""
+"""Default idle timeout of a caller's connection, in seconds."""
 
 
 @attrs.frozen
 class Limits:
-    """What callers may send, and how long they may take."""
+    """Size and time limits for requests of callers."""
 
     header_bytes: int = DEFAULT_HEADER_BYTES
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -36,7 +36,7 @@
 
     @classmethod
     def from_table(cls, table: RouteTable) -> Limits:
-        """Return the limits of a table; those that it does not set have their defaults."""
+        """Return the limits of a table, with defaults for those it does not set."""
         limits = table.limits
         return cls(
             limits.header_bytes or DEFAULT_HEADER_BYTES,
@@ -48,32 +48,32 @@
 
 @attrs.define(eq=False)
 class Route:
-    """One route with its state of the weighted choice.
+    """A route with the state of its weighted selection.
 
     Parameters
     ----------
     name : str
-        Name for logs.
+        Name of the route in logs.
     prefix : str
         Path prefix, with a slash at both ends.
     idempotent : bool
         Whether a request may run more than once.
     timeout_s : float
-        Longest time that a caller is kept waiting.
+        Maximum time until a caller gets a response, in seconds.
     objective_s : float
-        Latency objective; 0 for none.
+        Latency objective in seconds; 0 for none.
     rank : int
-        Urgency; 0 is the highest.
+        Priority rank; 0 is the most urgent.
     max_targets : int
-        Most targets of a service that one request is sent to.
+        Maximum number of targets per service that a request is sent to.
     services : tuple of str
         Services of a weighted split, or all shards of a gather route.
     weights : tuple of float
         Weights of a split; empty for a gather route.
     top_records : int
-        Records of a merged answer.
+        Maximum number of records in a merged answer.
     min_coverage : float
-        Smallest share of the shards in a merged answer.
+        Minimum share of the shards in a merged answer.
     """
 
     name: str
@@ -88,11 +88,11 @@
     top_records: int = 0
     min_coverage: float = 0.0
     _cumulative: tuple[float, ...] = ()
-    _position: float = 0.0
+    _sequence_value: float = 0.0
 
     @classmethod
     def from_message(cls, message: RouteMessage) -> Route:
-        """Return the route of a message."""
+        """Return the route that a message describes."""
         gather = bool(message.shards)
         weights = tuple(part.weight for part in message.split)
         return cls(
@@ -112,39 +112,39 @@
 
     @property
     def needed(self) -> int:
-        """How many services must answer for a success."""
+        """Number of services that must reply for a successful answer."""
         if not self.gather:
             return 1
-        # The product of a share and a count may lie just above a whole number.
+        # Rounding errors can lift the product just above an integer.
         return max(1, math.ceil(self.min_coverage * len(self.services) - 1e-9))
 
     @property
     def gather(self) -> bool:
-        """Whether a request is sent to all services and the answers are merged."""
+        """Whether a request is sent to all services and their replies are merged."""
         return not self.weights
 
     def choose_service(self) -> str:
         """Return the service of the next request.
 
-        Requests walk through the weights by the golden ratio, which keeps the shares close to the
-        weights over short spans too; a random choice would stray by several percent.
+        A low-discrepancy sequence (multiples of the golden ratio modulo 1) keeps the shares close
+        to the weights even over few requests; a random choice would deviate by several percent.
         """
         if len(self.services) == 1:
             return self.services[0]
-        self._position = (self._position + _GOLDEN) % 1.0
-        point = self._position * self._cumulative[-1]
+        self._sequence_value = (self._sequence_value + _GOLDEN_RATIO_FRACTION) % 1.0
+        offset = self._sequence_value * self._cumulative[-1]
         return next(
             name
             for name, upper in zip(self.services, self._cumulative, strict=True)
-            if point < upper
+            if offset < upper
         )
 
 
-_GOLDEN = 0.6180339887498949
+_GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
 
 class RouteIndex:
-    """The routes of one version of the table.
+    """Index of the routes of one route table version.
 
     Parameters
     ----------
@@ -168,13 +168,13 @@
         return [route for routes in self._by_host.values() for route in routes]
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path, or None."""
+        """Return the route with the longest matching path prefix, or None."""
         name = host.lower()
         routes = self._by_host.get(name) or self._by_host.get(_without_port(name), ())
         return next((route for route in routes if path.startswith(route.prefix)), None)
 
     def dump(self) -> dict[str, Any]:
-        """Return the table's version and the places that it routes."""
+        """Return the route table version and the services of each host and prefix."""
         return {
             "version": self.version,
             "routes": {
--- a/bramleycrank/routing/validation.py
+++ b/bramleycrank/routing/validation.py
@@ -1,4 +1,4 @@
-"""Rules that a route table must meet as a whole."""
+"""Validation of a route table."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from bramleycrank.proto.log_pb2 import Route, RouteTable
 
 MAX_ROUTES = 10_000
-"""Most routes of a table; a larger one would not fit into a message between VMs."""
+"""Maximum number of routes in a table, so that it fits into a message between VMs."""
 
 
 def check_routes(table: RouteTable) -> None:
-    """Check a table.
+    """Check that a route table is valid.
 
     Raises
     ------
     InvalidChange
-        With the first few problems.
+        If the table is invalid; the message has the first five problems.
     """
-    problems = list(_problems(table))
+    problems = list(_find_problems(table))
     if problems:
         raise InvalidChange("; ".join(problems[:5]), outcome=Outcome.NOT_RUN)
 
 
-def _problems(table: RouteTable) -> Iterable[str]:
+def _find_problems(table: RouteTable) -> Iterable[str]:
     if not table.version:
         yield "the version is missing"
     if len(table.routes) > MAX_ROUTES:
@@ -34,17 +34,19 @@
     yield from (
         f"service {name!r} is listed twice" for name, count in services.items() if count > 1
     )
-    places = Counter((route.host.lower(), route.path_prefix) for route in table.routes)
+    host_prefix_counts = Counter((route.host.lower(), route.path_prefix) for route in table.routes)
     yield from (
         f"two routes have host {host!r} and prefix {prefix!r}"
-        for (host, prefix), count in places.items()
+        for (host, prefix), count in host_prefix_counts.items()
         if count > 1
     )
     for route in table.routes:
-        yield from (f"route {route.name!r}: {text}" for text in _route_problems(route, services))
+        yield from (
+            f"route {route.name!r}: {text}" for text in _find_route_problems(route, services)
+        )
 
 
-def _route_problems(route: Route, services: Counter[str]) -> Iterable[str]:
+def _find_route_problems(route: Route, services: Counter[str]) -> Iterable[str]:
     prefix = route.path_prefix
     if not route.host:
         yield "the host is missing"
@@ -58,7 +60,7 @@
     yield from (f"service {name!r} is unknown" for name in names if name not in services)
     if len(set(names)) != len(names):
         yield "a service is listed twice"
-    if route.split and not _is_positive(part.weight for part in route.split):
+    if route.split and not _are_valid_weights(part.weight for part in route.split):
         yield "the weights must not be negative and must not add up to 0"
     if route.shards and not route.top_records:
         yield "a route over shards needs the number of records of its answers"
@@ -66,6 +68,6 @@
         yield "the minimum coverage must lie between 0 and 1"
 
 
-def _is_positive(weights: Iterable[float]) -> bool:
+def _are_valid_weights(weights: Iterable[float]) -> bool:
     weights = list(weights)
     return all(weight >= 0 for weight in weights) and sum(weights) > 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Lookup of routes, weighted choice and the rules of a table."""
+"""Route lookup, weighted selection and validation of route tables."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def table(*routes: Route, services: tuple[str, ...] = ("a", "b")) -> RouteTable:
-    """Return a valid table unless the routes break it."""
+    """Return a table; it is valid if its routes are."""
     return RouteTable(version=3, routes=routes, services=[HttpService(name=n) for n in services])
 
 
 def route(prefix: str = "/x/", **fields: object) -> Route:
-    """Return a valid route."""
+    """Return a valid route, with some fields replaced."""
     defaults = {
         "name": prefix,
         "host": "h.example",
@@ -36,25 +36,25 @@
     assert index.find("other.example", "/x/") is None
 
 
-def test_a_prefix_matches_whole_segments_only():
+def test_a_prefix_matches_whole_path_segments_only():
     assert RouteIndex(table(route("/x/"))).find("h.example", "/xy/1") is None
 
 
-def test_weights_are_kept_over_short_spans():
+def test_shares_match_the_weights_over_few_requests():
     split = [WeightedService(name="a", weight=3), WeightedService(name="b", weight=1)]
     [chosen] = RouteIndex(table(route(split=split))).routes()
     counts = Counter(chosen.choose_service() for _ in range(200))
     assert abs(counts["a"] - 150) <= 4
 
 
-def test_a_service_without_weight_gets_nothing():
+def test_a_service_with_weight_0_is_never_chosen():
     split = [WeightedService(name="a", weight=0), WeightedService(name="b", weight=1)]
     [chosen] = RouteIndex(table(route(split=split))).routes()
     assert {chosen.choose_service() for _ in range(100)} == {"b"}
 
 
 @pytest.mark.parametrize(
-    ("bad", "problem"),
+    ("invalid_table", "problem"),
     [
         (table(route(timeout_ms=0)), "the timeout is 0"),
         (table(route(), route()), "two routes"),
@@ -71,11 +71,11 @@
         (RouteTable(), "version is missing"),
     ],
 )
-def test_an_invalid_table_is_refused_whole(bad, problem):
-    with pytest.raises(InvalidChange, match=problem) as caught:
-        check_routes(bad)
-    assert caught.value.outcome is Outcome.NOT_RUN
+def test_an_invalid_table_is_refused(invalid_table, problem):
+    with pytest.raises(InvalidChange, match=problem) as exc_info:
+        check_routes(invalid_table)
+    assert exc_info.value.outcome is Outcome.NOT_RUN
 
 
-def test_a_table_may_route_nothing():
+def test_a_table_without_routes_is_valid():
     check_routes(table())
