--- a/bramleycrank/filters/__init__.py
+++ b/bramleycrank/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The chain of filters that every request passes through."""
+"""Filter chain that processes every query request."""
--- a/bramleycrank/filters/admit.py
+++ b/bramleycrank/filters/admit.py
@@ -1,4 +1,4 @@
-"""Waits for admission and holds a place until the request has ended."""
+"""Admission of requests, which count against the concurrency limits until they end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AdmitFilter:
-    """Runs the admission core."""
+    """Connects the filter chain to the admission control in `bramleycrank.query.admission`."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
         self._waiting: dict[Ticket, asyncio.Future[None]] = {}
 
     async def __call__(self, ctx: RequestContext, next: Next) -> Answer:
-        """Admit the request, run it and give its place back."""
+        """Wait for admission, run the request and release its admission."""
         ticket = ctx.ticket
         assert ticket is not None
-        await self._enter(ticket)
+        await self._wait_for_admission(ticket)
         try:
             return await next(ctx)
         finally:
-            self._leave(ctx, ticket)
+            self._release(ctx, ticket)
 
-    async def _enter(self, ticket: Ticket) -> None:
+    async def _wait_for_admission(self, ticket: Ticket) -> None:
         actions = self._admission.offer(ticket, self._clock())
         if ticket.state == "running":
             return
@@ -54,11 +54,11 @@
         finally:
             self._waiting.pop(ticket, None)
 
-    def _leave(self, ctx: RequestContext, ticket: Ticket) -> None:
-        """Release the place; only the execution's own time counts as latency.
+    def _release(self, ctx: RequestContext, ticket: Ticket) -> None:
+        """Release the admission; only the time of the execution counts as latency.
 
-        A request that failed without overload teaches nothing: failures at once, in an outage,
-        lowered the long-term median, and the usual latency after it looked like overload.
+        Requests that fail without overload are not counted. Immediate failures during an outage
+        would lower the long-term median, and normal latencies after it would look like overload.
         """
         now, execution = self._clock(), ctx.execution
         latency_s, overloaded = 0.0, False
--- a/bramleycrank/filters/answer.py
+++ b/bramleycrank/filters/answer.py
@@ -1,4 +1,4 @@
-"""Completes an answer with the configuration in force."""
+"""Adds the state of the configuration to an answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._configuration = configuration
 
     async def __call__(self, ctx: RequestContext, next: Next) -> Answer:
-        """Return the answer with revision and age of the configuration."""
+        """Return the answer with the revision and the age of the configuration in force."""
         assert ctx.answer is not None
         return attrs.evolve(
             ctx.answer,
--- a/bramleycrank/filters/chain.py
+++ b/bramleycrank/filters/chain.py
@@ -1,4 +1,4 @@
-"""Composition of the filters and the outcome that an error may state."""
+"""Composition of the filter chain, and the outcome stated by an error."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from bramleycrank.query.types import READ_KINDS, Answer
 
 
-async def _end(ctx: RequestContext) -> Answer:
-    raise InternalError("The filter chain has no end.")
+async def _raise_no_terminal_filter(ctx: RequestContext) -> Answer:
+    raise InternalError("The filter chain has no terminal filter.")
 
 
 def compose(filters: Sequence[Filter]) -> Next:
-    """Return the function that passes a request through `filters` in order."""
-    chain: Next = _end
-    for step in reversed(filters):
-        chain = partial(step, next=chain)
+    """Return a function that passes a request through `filters` in order."""
+    chain: Next = _raise_no_terminal_filter
+    for filter_ in reversed(filters):
+        chain = partial(filter_, next=chain)
     return chain
 
 
 def settle_outcome(ctx: RequestContext, exc: BramleycrankError) -> None:
-    """Set the outcome of an error to what is known about the request.
+    """Set the outcome of an error according to what is known about the request.
 
-    "Not run" needs that no sub-request was dispatched, or that every target proved that it did
-    not run. For a non-idempotent request it also needs the winning claim, because an earlier
-    attempt through another VM may have run.
+    The outcome is "not run" only if no sub-request was dispatched or every target proved that it
+    did not run the request. A non-idempotent request also needs the winning claim, because an
+    earlier attempt through another VM may have run.
     """
-    proved = ctx.execution is None or ctx.execution.not_run
-    alone = ctx.idempotent or ctx.claim_won or ctx.req.kind in READ_KINDS
-    exc.outcome = Outcome.NOT_RUN if proved and alone else Outcome.UNKNOWN
+    not_run = ctx.execution is None or ctx.execution.not_run
+    earlier_attempts_harmless = ctx.idempotent or ctx.claim_won or ctx.req.kind in READ_KINDS
+    exc.outcome = Outcome.NOT_RUN if not_run and earlier_attempts_harmless else Outcome.UNKNOWN
--- a/bramleycrank/filters/dispatch.py
+++ b/bramleycrank/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends the sub-requests of a query and waits for its end."""
+"""Runs the execution of a query: sends its sub-requests and waits for the outcome."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ExecutionRunner:
-    """Performs the actions of one execution and feeds events back; a session listener."""
+    """Performs the actions of one execution and passes session and timer events to it."""
 
     def __init__(
         self,
@@ -42,29 +42,29 @@
         self._metrics = metrics
         self._pending: deque[Action] = deque()
         self._performing = False
-        self._end: asyncio.Future[Finish | Fail] = asyncio.get_running_loop().create_future()
+        self._outcome: asyncio.Future[Finish | Fail] = asyncio.get_running_loop().create_future()
 
     async def run(self, first_actions: Iterable[Action]) -> Finish | Fail:
-        """Perform the first actions and wait for the end of the execution."""
+        """Perform the first actions and return the outcome of the execution."""
         self._perform(first_actions)
         if self._execution is not None:
             self._timer.update(self)
-        return await self._end
+        return await self._outcome
 
     def cancel(self) -> None:
-        """End the execution because the caller went away."""
+        """Cancel the execution because the caller disconnected."""
         if self._execution is not None:
             self._perform(self._execution.cancel(self._clock()))
 
     def on_reply(self, reply: SubReply) -> None:
-        """Handle a reply; one that comes after the end is only counted."""
+        """Handle a reply; a reply after the end of the execution is only counted."""
         if self._execution is None:
             self._metrics.incr("query.late_replies")
         elif actions := self._execution.on_reply(reply, self._clock()):
             self._perform(actions)
 
     def on_failure(self, sub_id: int, reason: str) -> None:
-        """Handle the loss of a sub-request."""
+        """Handle the failure of a sub-request."""
         if self._execution is not None:
             self._perform(self._execution.on_failure(sub_id, reason, self._clock()))
 
@@ -73,12 +73,12 @@
         return self._execution.next_deadline() if self._execution is not None else None
 
     def on_time(self, now: float) -> None:
-        """Run the execution's tick."""
+        """Let the execution handle the passage of time."""
         if self._execution is not None:
             self._perform(self._execution.tick(now))
 
     def _perform(self, actions: Iterable[Action]) -> None:
-        """Perform actions in order; those caused by an action come after it."""
+        """Perform actions in order; actions that result from them are queued behind."""
         self._pending.extend(actions)
         if self._performing:
             return
@@ -88,7 +88,7 @@
                 self._perform_one(self._pending.popleft())
         finally:
             self._performing = False
-        if self._execution is not None and not self._end.done():
+        if self._execution is not None and not self._outcome.done():
             self._timer.update(self)
 
     def _perform_one(self, action: Action) -> None:
@@ -97,16 +97,16 @@
         elif isinstance(action, CancelSub):
             self._sessions.cancel(action.sub_id, action.target_id)
         else:
-            # The reference is dropped so that the timer does not keep the replies alive.
+            # The timer still refers to this runner; drop the replies that the execution holds.
             self._execution = None
-            if not self._end.done():
-                self._end.set_result(action)
+            if not self._outcome.done():
+                self._outcome.set_result(action)
 
     def _send(self, action: Dispatch) -> None:
         try:
             self._sessions.send(action.target_id, action.request, self)
         except Exception:
-            # It is not known how far the request came.
+            # The request may have been sent or not, so its outcome is unknown.
             log.exception("query: sending a sub-request failed")
             self.on_failure(action.request.sub_id, FailureReason.CONNECTION_LOST)
 
@@ -128,7 +128,7 @@
         self.running: dict[ExecutionRunner, RequestContext] = {}
 
     async def __call__(self, ctx: RequestContext, next: Next) -> Answer:
-        """Set the outcome of the execution."""
+        """Run the execution and set its outcome."""
         execution = ctx.execution
         assert execution is not None
         runner = ExecutionRunner(execution, self._sessions, self._timer, self._clock, self._metrics)
@@ -142,10 +142,10 @@
         finally:
             ctx.first_actions = []
             del self.running[runner]
-            self._count(execution)
+            self._count_sub_requests(execution)
         return await next(ctx)
 
-    def _count(self, execution: QueryExecution) -> None:
+    def _count_sub_requests(self, execution: QueryExecution) -> None:
         first, hedges, retries, restarts = execution.counts
         for name, count in (
             ("first", first),
--- a/bramleycrank/filters/merge.py
+++ b/bramleycrank/filters/merge.py
@@ -1,4 +1,4 @@
-"""Turns the outcome of an execution into the answer or the error of the request."""
+"""Converts the outcome of an execution into an answer or an error."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class MergeFilter:
-    """Takes the merged answer; the merge itself is in `bramleycrank.query.merge`."""
+    """Sets the merged answer of the request; `bramleycrank.query.merge` does the merging."""
 
     async def __call__(self, ctx: RequestContext, next: Next) -> Answer:
-        """Set the answer, or raise the error that the execution ended with."""
+        """Set the answer, or raise the error with which the execution ended."""
         outcome = ctx.outcome
         assert outcome is not None
         if isinstance(outcome, Fail):
--- a/bramleycrank/filters/parse.py
+++ b/bramleycrank/filters/parse.py
@@ -1,4 +1,4 @@
-"""Strict parsing of a request's JSON body."""
+"""Strict parsing of JSON request bodies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 _MAX_TIME_MS = 2**53
 
 
-def _text(value: Any) -> str | None:
+def _check_text(value: Any) -> str | None:
     if not isinstance(value, str):
         return "must be a string"
     try:
@@ -25,27 +25,27 @@
     return None
 
 
-def _name(value: Any) -> str | None:
-    return _text(value) or (None if value else "must not be empty")
+def _check_name(value: Any) -> str | None:
+    return _check_text(value) or (None if value else "must not be empty")
 
 
-def _request_key(value: Any) -> str | None:
-    if problem := _text(value):
+def _check_request_key(value: Any) -> str | None:
+    if problem := _check_text(value):
         return problem
     if not 1 <= len(value) <= MAX_KEY_CHARACTERS:
         return f"must have 1 to {MAX_KEY_CHARACTERS} characters"
     return None
 
 
-def _priority(value: Any) -> str | None:
+def _check_priority(value: Any) -> str | None:
     return None if value in CLASSES else f"must be one of {', '.join(CLASSES)}"
 
 
-def _flag(value: Any) -> str | None:
+def _check_flag(value: Any) -> str | None:
     return None if isinstance(value, bool) else "must be true or false"
 
 
-def _integer(low: int, high: int) -> Callable[[Any], str | None]:
+def _integer_check(low: int, high: int) -> Callable[[Any], str | None]:
     def check(value: Any) -> str | None:
         valid = isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
         return None if valid else f"must be an integer from {low} to {high}"
@@ -53,69 +53,72 @@
     return check
 
 
-_CHECKS: dict[str, Callable[[Any], str | None]] = {
-    "service": _name,
-    "kind": _name,
-    "class": _priority,
-    "deadline_ms": _integer(1, MAX_DEADLINE_MS),
-    "allow_partial": _flag,
-    "request_key": _request_key,
-    "issued_at_ms": _integer(1, _MAX_TIME_MS),
-    "query": _text,
-    "key": _text,
-    "limit": _integer(1, MAX_LIMIT),
-    "payload": _text,
+_FIELD_CHECKS: dict[str, Callable[[Any], str | None]] = {
+    "service": _check_name,
+    "kind": _check_name,
+    "class": _check_priority,
+    "deadline_ms": _integer_check(1, MAX_DEADLINE_MS),
+    "allow_partial": _check_flag,
+    "request_key": _check_request_key,
+    "issued_at_ms": _integer_check(1, _MAX_TIME_MS),
+    "query": _check_text,
+    "key": _check_text,
+    "limit": _integer_check(1, MAX_LIMIT),
+    "payload": _check_text,
 }
 
-_ATTRIBUTES = {"class": "priority"}
+_ATTRIBUTE_NAMES = {"class": "priority"}
 
 
 def parse_request(body: bytes) -> QueryRequest:
-    """Return the request with the JSON form `body`.
+    """Parse a JSON request body.
 
     Raises
     ------
     MalformedBody
         If `body` is not a JSON object.
     InvalidRequest
-        If fields are missing, unknown or malformed; the message has all problems.
+        If fields are missing, unknown or malformed; the message lists all problems.
     """
-    pairs = _decode(body)
-    data = dict(pairs)
-    problems = list(_problems(pairs, data))
+    members = _decode(body)
+    data = dict(members)
+    problems = list(_find_problems(members, data))
     if problems:
-        raise InvalidRequest("; ".join(problems), outcome=_outcome(data.get("kind")))
-    return QueryRequest(**{_ATTRIBUTES.get(name, name): value for name, value in data.items()})
+        raise InvalidRequest("; ".join(problems), outcome=_refusal_outcome(data.get("kind")))
+    return QueryRequest(**{_ATTRIBUTE_NAMES.get(name, name): value for name, value in data.items()})
 
 
-def _outcome(kind: Any) -> Outcome:
-    """Return what a refusal may say: another attempt of a non-idempotent request may have run."""
-    known_read = isinstance(kind, str) and kind in READ_KINDS
-    return Outcome.NOT_RUN if known_read else Outcome.UNKNOWN
+def _refusal_outcome(kind: Any) -> Outcome:
+    """Return the outcome for a refused request.
+
+    Another attempt of a non-idempotent request may have run.
+    """
+    is_read = isinstance(kind, str) and kind in READ_KINDS
+    return Outcome.NOT_RUN if is_read else Outcome.UNKNOWN
 
 
-class _Pairs(list):
-    """The members of a JSON object, duplicates included."""
+class _ObjectMembers(list):
+    """The members of a JSON object, including duplicate names."""
 
 
 def _decode(body: bytes) -> list[tuple[str, Any]]:
     try:
-        data = json.loads(body, object_pairs_hook=_Pairs)
+        data = json.loads(body, object_pairs_hook=_ObjectMembers)
     except (ValueError, RecursionError):
         raise MalformedBody("The body is not valid JSON.") from None
-    if not isinstance(data, _Pairs):
+    if not isinstance(data, _ObjectMembers):
         raise MalformedBody
     return data
 
 
-def _problems(pairs: list[tuple[str, Any]], data: dict[str, Any]) -> Iterable[str]:
-    names = [name for name, _ in pairs]
+def _find_problems(members: list[tuple[str, Any]], data: dict[str, Any]) -> Iterable[str]:
+    names = [name for name, _ in members]
     for name in sorted({name for name in names if names.count(name) > 1}):
-        yield f"{_shown(name)}: appears more than once"
+        yield f"{_printable_name(name)}: appears more than once"
     for name, value in data.items():
-        check = _CHECKS.get(name)
+        check = _FIELD_CHECKS.get(name)
         if check is None:
-            yield f"{_shown(name)}: unknown field"
+            yield f"{_printable_name(name)}: unknown field"
         elif problem := check(value):
             yield f"{name}: {problem}"
     for name in ("service", "kind"):
@@ -123,11 +126,11 @@
             yield f"{name}: is required"
     kind = data.get("kind")
     if isinstance(kind, str) and kind:
-        needed = "query" if kind in SCATTER_KINDS else "key"
-        if needed not in data:
-            yield f"{needed}: is required for this kind"
+        required_field = "query" if kind in SCATTER_KINDS else "key"
+        if required_field not in data:
+            yield f"{required_field}: is required for this kind"
 
 
-def _shown(name: str) -> str:
-    """Return a field name that is safe and short enough for a message."""
+def _printable_name(name: str) -> str:
+    """Return a field name in ASCII, shortened for an error message."""
     return ascii(name[:64])[1:-1]
--- a/bramleycrank/filters/plan.py
+++ b/bramleycrank/filters/plan.py
@@ -1,4 +1,4 @@
-"""Plans the sub-requests of a query."""
+"""Creates the execution of a query."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from bramleycrank.query.execution import QueryExecution
 from bramleycrank.query.types import Answer, NextSubId, QueryPolicy
 
-RESERVE_SHARE, RESERVE_MAX_S = 0.02, 0.005
-"""Part of the time, and most seconds, kept for merging and writing the answer."""
+MERGE_RESERVE_SHARE, MAX_MERGE_RESERVE_S = 0.02, 0.005
+"""Share of the time limit and maximum in seconds reserved for merging and writing the answer."""
 
 
 class PlanFilter:
-    """Creates the execution of a query and its first actions."""
+    """Creates the execution of a query and determines its first actions."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         service, snapshot = ctx.service, ctx.snapshot
         assert service is not None
         assert snapshot is not None
-        whole = ctx.deadline - ctx.received_at
+        total_s = ctx.deadline - ctx.received_at
         ctx.execution = QueryExecution(
             ctx.req,
             snapshot=snapshot,
             policy=self._policy,
             catalog=self._catalog,
             next_sub_id=self._next_sub_id,
-            deadline=ctx.deadline - min(RESERVE_SHARE * whole, RESERVE_MAX_S),
+            deadline=ctx.deadline - min(MERGE_RESERVE_SHARE * total_s, MAX_MERGE_RESERVE_S),
             idempotent=ctx.idempotent,
             hedging=not service.hedging_disabled,
             pinned_version=service.pinned_version,
--- a/bramleycrank/filters/snapshot.py
+++ b/bramleycrank/filters/snapshot.py
@@ -1,4 +1,4 @@
-"""Chooses the snapshot of a query."""
+"""Selection of the snapshot for a query."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class SnapshotFilter:
-    """Chooses the snapshot.
+    """Chooses the snapshot that a query reads.
 
     Parameters
     ----------
     refresh : callable
-        Brings the known targets of a service up to date.
+        Updates the catalog with the current targets of a service.
     """
 
     def __init__(
--- a/bramleycrank/filters/timer.py
+++ b/bramleycrank/filters/timer.py
@@ -1,4 +1,4 @@
-"""One timer for everything that has a deadline in the query path."""
+"""Shared timer for all deadlines of the query path."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Timed(Protocol):
-    """Something that wants to run at a time of its own."""
+    """An object with a next deadline at which it must run."""
 
     def next_deadline(self) -> float | None:
-        """Return the time of the next run; None for none."""
+        """Return the time of the next run; None if no run is needed."""
 
     def on_time(self, now: float) -> None:
-        """Run what is due."""
+        """Handle the deadline."""
 
 
 class SharedTimer:
-    """Runs many `Timed` objects with one timer of the loop.
+    """Runs many `Timed` objects with a single timer of the event loop.
 
-    An object whose deadline moved later stays in the heap at the old time and is put back when
-    that time comes, so replies never touch the timer.
+    An object whose deadline moved later stays in the heap at the old time and is rescheduled when
+    that time has come, so that replies don't need to update the timer.
 
     Parameters
     ----------
@@ -37,33 +37,33 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._heap: list[tuple[float, int, Timed]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._scheduled: dict[Timed, float] = {}
         self._handle: asyncio.TimerHandle | None = None
-        self._armed_for = 0.0
+        self._timer_due = 0.0
 
     def update(self, item: Timed) -> None:
-        """Take the item's next deadline into account."""
+        """Schedule the item if its next deadline is earlier than scheduled."""
         due = item.next_deadline()
         if due is None or due >= self._scheduled.get(item, float("inf")):
             return
         self._scheduled[item] = due
-        heapq.heappush(self._heap, (due, next(self._order), item))
-        self._arm()
+        heapq.heappush(self._heap, (due, next(self._sequence), item))
+        self._set_timer()
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if not self._heap:
             return
         due = self._heap[0][0]
         if self._handle is not None:
-            if self._armed_for <= due:
+            if self._timer_due <= due:
                 return
             self._handle.cancel()
-        self._armed_for = due
+        self._timer_due = due
         delay = max(0.0, due - self._clock())
-        self._handle = asyncio.get_running_loop().call_later(delay, self._fire)
+        self._handle = asyncio.get_running_loop().call_later(delay, self._on_timer)
 
-    def _fire(self) -> None:
+    def _on_timer(self) -> None:
         self._handle = None
         now = self._clock()
         due_items = []
@@ -74,7 +74,7 @@
                 due_items.append(item)
         for item in due_items:
             self._run(item, now)
-        self._arm()
+        self._set_timer()
 
     def _run(self, item: Timed, now: float) -> None:
         due = item.next_deadline()
@@ -82,14 +82,14 @@
             try:
                 item.on_time(now)
             except Exception:
-                log.exception("query: a timed item failed")
+                log.exception("query: a timer callback failed")
                 due = item.next_deadline()
                 if due is not None and due <= now:
-                    return  # it would fail again at once, for ever
+                    return  # a failing item that stays due would be run in an endless loop
         self.update(item)
 
     def close(self) -> None:
-        """Stop the timer and forget all items."""
+        """Stop the timer and remove all items."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/bramleycrank/filters/types.py
+++ b/bramleycrank/filters/types.py
@@ -1,4 +1,4 @@
-"""Types of the filter chain and the interfaces that it uses."""
+"""Types of the filter chain, and interfaces to other parts."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         """Return the configuration of a service; raises `UnknownService`."""
 
     def stale_ms(self) -> int:
-        """Return the age of the configuration in milliseconds; 0 while current."""
+        """Return the age of the configuration in milliseconds; 0 while it is current."""
 
 
 class Targets(Protocol):
@@ -49,46 +49,46 @@
         """Return the usable targets of a service."""
 
     def vm_count(self, domain: str | None = None) -> int:
-        """Return the number of VMs, of one domain if given."""
+        """Return the number of VMs in `domain`, or in all domains."""
 
     def subscribe_targets(self, callback: Callable[[TargetRecord], None]) -> object:
-        """Call `callback` with every changed record."""
+        """Call `callback` with each changed record."""
 
 
 class Listener(Protocol):
-    """Receives the end of a sub-request."""
+    """Receives the reply or the failure of a sub-request."""
 
     def on_reply(self, reply: SubReply) -> None:
         """Handle the reply."""
 
     def on_failure(self, sub_id: int, reason: str) -> None:
-        """Handle the loss of a sub-request; `reason` is a `FailureReason` value."""
+        """Handle the failure of a sub-request; `reason` is a `FailureReason` value."""
 
 
 class Sessions(Protocol):
     """Sends sub-requests to targets."""
 
     def send(self, target_id: str, request: SubRequest, listener: Listener) -> None:
-        """Send `request`; its end is told to `listener`, possibly before this call returns."""
+        """Send `request`; `listener` is called with its end, possibly before this call returns."""
 
     def cancel(self, sub_id: int, target_id: str) -> None:
-        """Tell the target that the reply is no longer needed."""
+        """Cancel a sub-request at its target."""
 
     def next_sub_id(self) -> int:
         """Return an id that this process has not used yet."""
 
 
 class Metrics(Protocol):
-    """Receives counts and times."""
+    """Receives counters, durations and gauges."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
 
     def timing(self, name: str, ms: float) -> None:
         """Record a duration in milliseconds."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a value."""
+        """Set a gauge."""
 
 
 class NoMetrics:
@@ -106,14 +106,14 @@
 
 @attrs.define(eq=False)
 class RequestContext:
-    """State of one request on its way through the chain.
+    """State of one request in the filter chain.
 
     Parameters
     ----------
     received_at : float
-        Time when the request was accepted from the caller.
+        Time at which the request was received, in seconds.
     deadline : float
-        Latest time for the answer; set by the classify filter.
+        Time at which the answer becomes useless, in seconds; set by `ClassifyFilter`.
     claim_won : bool
         Whether this VM holds the winning claim of a non-idempotent request.
     dispatched : bool
--- a/bramleycrank/filters/validate.py
+++ b/bramleycrank/filters/validate.py
@@ -1,4 +1,4 @@
-"""Checks a request against the configuration of its service."""
+"""Validation of a request against the configuration of its service."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from bramleycrank.proto.log_pb2 import ServiceConfig
 from bramleycrank.query.types import READ_KINDS, Answer, QueryRequest
 
-MAX_AHEAD_MS = 3_600_000
-"""How far `issued_at_ms` may lie in the future."""
+MAX_ISSUED_AHEAD_MS = 3_600_000
+"""Maximum distance of `issued_at_ms` into the future, in milliseconds."""
 
 DEFAULT_HITS_LIMIT = 1_000
 
@@ -25,14 +25,14 @@
     """
     if kind in READ_KINDS:
         return True
-    for known in service.kinds:
-        if known.name == kind:
-            return known.idempotent
+    for kind_config in service.kinds:
+        if kind_config.name == kind:
+            return kind_config.idempotent
     raise UnknownKind(f"Service {service.name} does not define the kind {kind[:64]!a}.")
 
 
 class ValidateFilter:
-    """Refuses requests that the service does not allow.
+    """Refuses requests that the configuration of the service does not allow.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
         ctx.idempotent = req.kind in READ_KINDS
         service = ctx.service = self._configuration.service(req.service)
         ctx.idempotent = is_idempotent(service, req.kind)
-        problems = list(self._problems(ctx.idempotent, service, req))
+        problems = list(self._find_problems(ctx.idempotent, service, req))
         if service.classes and req.priority not in service.classes:
             allowed = ", ".join(service.classes)
             message = f"class: {req.priority} is not allowed; allowed: {allowed}"
@@ -61,17 +61,17 @@
             raise InvalidRequest("; ".join(problems))
         return await next(ctx)
 
-    def _problems(
+    def _find_problems(
         self, idempotent: bool, service: ServiceConfig, req: QueryRequest
     ) -> Iterable[str]:
-        most = service.hits_limit or DEFAULT_HITS_LIMIT
-        if req.limit > most:
-            yield f"limit: must be at most {most} for this service"
+        max_hits = service.hits_limit or DEFAULT_HITS_LIMIT
+        if req.limit > max_hits:
+            yield f"limit: must be at most {max_hits} for this service"
         if idempotent:
             return
         if not req.request_key:
             yield "request_key: is required for this kind"
         if not req.issued_at_ms:
             yield "issued_at_ms: is required for this kind"
-        elif req.issued_at_ms > self._wall_ms() + MAX_AHEAD_MS:
+        elif req.issued_at_ms > self._wall_ms() + MAX_ISSUED_AHEAD_MS:
             yield "issued_at_ms: is more than 1 h in the future"
--- a/tests/test_filters_claim.py
+++ b/tests/test_filters_claim.py
@@ -1,7 +1,7 @@
-"""Runs attempts of one non-idempotent request through several VMs with faults in the log.
+"""Attempts of one non-idempotent request through several VMs, with faults in the log.
 
-Guards against a second run, an error that says "not run" although an attempt may have run, answers
-that differ between resends, and claims that stay open after a VM gave up before dispatching.
+Guards against a second run, a "not run" error although an attempt may have run, answers that
+differ between resends, and claims that stay open after a VM aborted before the dispatch.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
     TargetFailed,
 )
 from bramleycrank.filters.chain import settle_outcome
-from bramleycrank.filters.claim import MAX_STORED_ANSWER, ClaimFilter
+from bramleycrank.filters.claim import MAX_STORED_ANSWER_BYTES, ClaimFilter
 from bramleycrank.filters.types import RequestContext
 from bramleycrank.query.types import Answer, Attempts, Coverage, QueryRequest, Snapshot
 
 FAULTS = ("", "", "slow", "no_quorum", "lost", "unknown")
-ENDS = ("answer", "answer", "large answer", "refused", "failed", "lost", "no targets")
+ATTEMPT_ENDS = ("answer", "answer", "large answer", "refused", "failed", "lost", "no targets")
 
 
 @attrs.define
 class FakeExecution:
-    """What the claim filter asks of an execution."""
+    """The part of an execution that the claim filter uses."""
 
     not_run: bool
 
@@ -45,8 +45,8 @@
     )
 
 
-class World:
-    """VMs that share a log; counts the runs of the request."""
+class Simulation:
+    """Simulates VMs that share a log and counts the runs of the request."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -63,12 +63,12 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def settle(self) -> None:
+    async def wait_for_tasks(self) -> None:
         while self.tasks:
             await asyncio.wait(list(self.tasks))
 
-    async def attempt(self, end: str, cancel_after: float | None, deadline_s: float):
-        """Return the answer, the error, or None if the caller went away."""
+    async def attempt(self, end: str, cancel_after_s: float | None, deadline_s: float):
+        """Return the answer, the error, or None if the caller disconnected."""
         req = QueryRequest(SERVICE, "work_order", request_key="key", issued_at_ms=5, key="k")
         now = self.loop.time()
         ctx = RequestContext(req, received_at=now, deadline=now + deadline_s)
@@ -78,9 +78,9 @@
             return await self._run(ctx, end)
 
         task = asyncio.ensure_future(self.rng.choice(self.filters)(ctx, run))
-        if cancel_after is not None:
-            await asyncio.wait([task], timeout=cancel_after)
-            if not ctx.dispatched:  # the controller lets a dispatched one end
+        if cancel_after_s is not None:
+            await asyncio.wait([task], timeout=cancel_after_s)
+            if not ctx.dispatched:  # the controller doesn't cancel a dispatched request
                 task.cancel()
         try:
             return await task
@@ -99,21 +99,21 @@
         if end == "refused":
             ctx.execution.not_run = True
             raise TargetFailed
-        if end == "lost":  # it may have run; the worst case is that it did
+        if end == "lost":  # outcome unknown; count a run as the worst case
             self.runs += 1
             raise DeadlineExceeded
         if end == "failed":
             self.runs += 1
             raise TargetFailed
         self.runs += 1
-        return answer_with("x" * (MAX_STORED_ANSWER if end == "large answer" else 5))
+        return answer_with("x" * (MAX_STORED_ANSWER_BYTES if end == "large answer" else 5))
 
 
 @given(
     seed=st.integers(0, 2**32),
     attempts=st.lists(
         st.tuples(
-            st.sampled_from(ENDS),
+            st.sampled_from(ATTEMPT_ENDS),
             st.sampled_from([None, None, 0.0, 0.01, 0.06]),
             st.sampled_from([1.0, 1.0, 0.12, 0.0]),
             st.lists(st.sampled_from(FAULTS), max_size=4),
@@ -123,45 +123,45 @@
         max_size=7,
     ),
 )
-def test_it_runs_at_most_once_and_every_answer_is_true(seed: int, attempts: list) -> None:
+def test_a_request_runs_at_most_once_and_all_answers_are_equal(seed: int, attempts: list) -> None:
     async def scenario() -> None:
-        world = World(seed)
+        simulation = Simulation(seed)
         open_attempts, results = [], []
-        for end, cancel_after, deadline_s, faults, together in attempts:
-            world.log.faults.extend(faults)
-            task = asyncio.ensure_future(world.attempt(end, cancel_after, deadline_s))
+        for end, cancel_after_s, deadline_s, faults, concurrent in attempts:
+            simulation.log.faults.extend(faults)
+            task = asyncio.ensure_future(simulation.attempt(end, cancel_after_s, deadline_s))
             open_attempts.append(task)
-            if not together:
-                before = world.runs
+            if not concurrent:
+                runs_before = simulation.runs
                 result = await task
-                # Alone in the system, "not run" must mean that nothing ran meanwhile.
+                # Without concurrent attempts, "not run" means that the number of runs is unchanged.
                 if isinstance(result, BramleycrankError) and result.outcome is Outcome.NOT_RUN:
-                    assert world.runs == before or len(open_attempts) > 1
+                    assert simulation.runs == runs_before or len(open_attempts) > 1
         results = [await task for task in open_attempts]
-        await world.settle()
-        assert world.runs <= 1
+        await simulation.wait_for_tasks()
+        assert simulation.runs <= 1
         answers = [item for item in results if isinstance(item, Answer)]
         assert all(item == answers[0] for item in answers)
-        claim = next(iter(world.log.claims.values()), None)
+        claim = next(iter(simulation.log.claims.values()), None)
         if answers and claim and claim["answer"]:
             assert Answer.from_dict(json.loads(claim["answer"])) == answers[0]
-        if not world.runs and claim:
-            assert claim["abandoned"], "a claim stayed open although nothing was dispatched"
+        if not simulation.runs and claim:
+            assert claim["abandoned"], "the claim stayed open although nothing was dispatched"
 
     run_virtual(scenario())
 
 
-def attempt_after(prepare, **changes):
-    """Return the result of one attempt after `prepare` changed the log."""
+def run_attempt(prepare, **changes):
+    """Prepare the log, run one attempt; return its result, the simulation and the commands."""
 
     async def scenario():
-        world = World(1)
-        prepare(world.log)
-        values = {"end": "answer", "cancel_after": None, "deadline_s": 1.0} | changes
-        result = await world.attempt(**values)
-        commands = [command.WhichOneof("body") for command in world.log.commands]
-        await world.settle()
-        return result, world, commands
+        simulation = Simulation(1)
+        prepare(simulation.log)
+        values = {"end": "answer", "cancel_after_s": None, "deadline_s": 1.0} | changes
+        result = await simulation.attempt(**values)
+        commands = [command.WhichOneof("body") for command in simulation.log.commands]
+        await simulation.wait_for_tasks()
+        return result, simulation, commands
 
     return run_virtual(scenario())
 
@@ -177,20 +177,20 @@
         ("", 0, "lost", "DeadlineExceeded", Outcome.UNKNOWN, [False]),
     ],
 )
-def test_an_error_says_what_is_known(fault, floor_ms, end, name, outcome, abandoned) -> None:
+def test_an_error_states_the_known_outcome(fault, floor_ms, end, name, outcome, abandoned) -> None:
     def prepare(log: FakeLog) -> None:
         log.faults.append(fault)
         log.floor_ms = floor_ms
 
-    result, world, _ = attempt_after(prepare, end=end)
+    result, simulation, _ = run_attempt(prepare, end=end)
     assert (result.name, result.outcome) == (name, outcome)
-    assert [claim["abandoned"] for claim in world.log.claims.values()] == abandoned
+    assert [claim["abandoned"] for claim in simulation.log.claims.values()] == abandoned
 
 
-def test_a_proposal_with_unknown_outcome_is_repeated_as_the_same_claim() -> None:
-    result, world, _ = attempt_after(lambda log: log.faults.extend(["unknown", "lost"]))
+def test_a_proposal_with_unknown_outcome_is_retried_with_the_same_attempt_id() -> None:
+    result, simulation, _ = run_attempt(lambda log: log.faults.extend(["unknown", "lost"]))
     assert result.result == "xxxxx"
-    ids = [c.claim_open.attempt_id for c in world.log.commands if c.HasField("claim_open")]
+    ids = [c.claim_open.attempt_id for c in simulation.log.commands if c.HasField("claim_open")]
     assert len(ids) == 2
     assert len(set(ids)) == 1
 
@@ -199,13 +199,13 @@
     ("end", "name"),
     [("answer", None), ("large answer", "AnswerTooLargeToRepeat"), ("lost", "OutcomeUnknown")],
 )
-def test_a_resend_gets_what_the_claim_knows(end: str, name: str | None) -> None:
+def test_a_resend_gets_the_stored_answer_or_an_unknown_outcome(end: str, name: str | None) -> None:
     async def scenario() -> None:
-        world = World(2)
-        first = await world.attempt(end, None, 1.0)
-        await world.settle()
-        second = await world.attempt("answer", None, 1.0)
-        assert world.runs == 1
+        simulation = Simulation(2)
+        first = await simulation.attempt(end, None, 1.0)
+        await simulation.wait_for_tasks()
+        second = await simulation.attempt("answer", None, 1.0)
+        assert simulation.runs == 1
         if name is None:
             assert second == first
         else:
@@ -215,21 +215,21 @@
     run_virtual(scenario())
 
 
-def test_completion_is_repeated_until_it_is_committed() -> None:
+def test_a_completion_is_retried_until_it_is_committed() -> None:
     def prepare(log: FakeLog) -> None:
         log.faults.extend(["", "no_quorum", "lost", "unknown"])
 
-    result, world, commands = attempt_after(prepare)
+    result, simulation, commands = run_attempt(prepare)
     assert commands == ["claim_open"], "the answer must not wait for the completion"
     assert result.result == "xxxxx"
-    assert [claim["completed"] for claim in world.log.claims.values()] == [True]
+    assert [claim["completed"] for claim in simulation.log.claims.values()] == [True]
 
 
-def test_completion_is_repeated_after_an_unexpected_failure() -> None:
-    """Guards against an answer that is lost to resends since one proposal failed untyped."""
+def test_a_completion_is_retried_after_an_unexpected_error() -> None:
+    """Guards against an unexpected error that ends the retries; no resend got the answer."""
 
     def prepare(log: FakeLog) -> None:
         log.faults.extend(["", "broken"])
 
-    _, world, _ = attempt_after(prepare)
-    assert [claim["completed"] for claim in world.log.claims.values()] == [True]
+    _, simulation, _ = run_attempt(prepare)
+    assert [claim["completed"] for claim in simulation.log.claims.values()] == [True]
