--- a/bramleycrank/scatter/__init__.py
+++ b/bramleycrank/scatter/__init__.py
@@ -1,6 +1,6 @@
 """Execution of requests that are forwarded to one or several services, without I/O."""
 
-from bramleycrank.scatter.budget import ExtraBudget
+from bramleycrank.scatter.budget import RetryBudget
 from bramleycrank.scatter.execution import ScatterExecution
 from bramleycrank.scatter.merge import merge_records
 from bramleycrank.scatter.policy import ScatterPolicy
--- a/bramleycrank/scatter/budget.py
+++ b/bramleycrank/scatter/budget.py
@@ -30,7 +30,7 @@
     slack: float = 20.0
 
 
-class ExtraBudget:
+class RetryBudget:
     """One VM's share of the retry budget of a service.
 
     The ratio applies to each VM's own requests and needs no coordination. The slack is divided
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -10,7 +10,7 @@
 from bramleycrank.query.latency import LatencyEstimate
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot as SnapshotKey
-from bramleycrank.scatter.budget import ExtraBudget, ExtraConfig
+from bramleycrank.scatter.budget import ExtraConfig, RetryBudget
 from bramleycrank.scatter.returns import combined_retry_after, service_retry_after, spread
 from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
 
@@ -108,7 +108,7 @@
         self._rng = rng
         self._has_room = has_room
         self._vm_count = vm_count
-        self._budgets: dict[str, ExtraBudget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
         self._latencies: dict[str, LatencyEstimate] = {}
 
     def update(self, service: str, records: Iterable[TargetRecord], now: float) -> None:
@@ -254,10 +254,10 @@
             "budgets": {name: item.dump() for name, item in self._budgets.items()},
         }
 
-    def _budget(self, service: str) -> ExtraBudget:
+    def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = ExtraBudget(self._extra)
+            budget = self._budgets[service] = RetryBudget(self._extra)
         return budget
 
     def _latency(self, route: str) -> LatencyEstimate:
--- a/tests/test_scatter_budget.py
+++ b/tests/test_scatter_budget.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bramleycrank.scatter.budget import ExtraBudget, ExtraConfig
+from bramleycrank.scatter.budget import ExtraConfig, RetryBudget
 
 CFG = ExtraConfig(ratio=0.2, window_s=10.0, slack=58.0)
 
@@ -16,7 +16,7 @@
 )
 def test_the_sum_over_all_vms_stays_within_the_bound_in_every_window(vm_count, events):
     """Guards against a bound that each VM keeps but all VMs together exceed."""
-    budgets = [ExtraBudget(CFG) for _ in range(vm_count)]
+    budgets = [RetryBudget(CFG) for _ in range(vm_count)]
     now, request_times, extra_times = 0.0, [], []
     for interval_s, wants_extra, vm in events:
         now += interval_s
@@ -34,7 +34,7 @@
 
 
 def test_a_vm_without_requests_is_limited_to_its_share_of_the_slack():
-    budget = ExtraBudget(CFG)
+    budget = RetryBudget(CFG)
     assert sum(budget.take(8, 0.0) for _ in range(100)) == 5
     assert not budget.take(8, 9.0)
     assert budget.take(8, 10.1)
