--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -30,7 +30,7 @@
     SubFailure,
     TargetAnswer,
 )
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.delivery import DeliveryEstimate
 from bramleycrank.scatter.returns import spread, until_started
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
@@ -56,7 +56,7 @@
         Source of the routes.
     targets : Targets
         Source of the targets.
-    extra : ExtraConfig
+    extra : RetryBudgetConfig
         Bound for extra sub-requests.
     metrics : Metrics
         Receiver of metrics.
@@ -78,7 +78,7 @@
         dialect: EntryDialect,
         routes: Routes,
         targets: Targets,
-        extra: ExtraConfig,
+        extra: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
         is_cut_off: Callable[[], bool] = lambda: False,
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -14,7 +14,7 @@
 from bramleycrank.observability.metrics import Metrics
 from bramleycrank.proto.target_pb2 import TargetRecord
 from bramleycrank.routing import RouteIndex
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.policy import TargetPolicy
 from bramleycrank.transport.http1 import IntakeBudget, TargetConnection
 
@@ -55,7 +55,7 @@
         Failure domain of this VM.
     source : Targets
         Source of the targets.
-    extra : ExtraConfig
+    extra : RetryBudgetConfig
         Bound for extra sub-requests.
     metrics : Metrics
         Receiver of metrics.
@@ -71,7 +71,7 @@
         self,
         domain: str,
         source: Targets,
-        extra: ExtraConfig,
+        extra: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
         wake: Callable[[str], None],
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -23,7 +23,7 @@
 from bramleycrank.observability.metrics import Metrics
 from bramleycrank.observability.traffic import Traffic
 from bramleycrank.routing import Limits
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.settings import Address, Settings
 from bramleycrank.transport.http1 import Exchange, Http1Server, IntakeBudget
 from bramleycrank.transport.http1.server_connection import ServerConnection
@@ -76,7 +76,7 @@
         Where operators and targets connect, on a VM that serves them.
     metrics : Address or None
         Where the metrics are served.
-    extra : ExtraConfig
+    extra : RetryBudgetConfig
         Bound for extra sub-requests.
     link_bytes_per_s : float
         Bandwidth of the VM's link; 0 if unknown.
@@ -92,7 +92,7 @@
     readiness: Address | None = None
     control: Address | None = None
     metrics: Address | None = None
-    extra: ExtraConfig = attrs.field(factory=ExtraConfig)
+    extra: RetryBudgetConfig = attrs.field(factory=RetryBudgetConfig)
     link_bytes_per_s: float = 0.0
     memory_bytes: int = 0
     voting: VotingConfig = attrs.field(factory=VotingConfig)
--- a/bramleycrank/platform/node_file.py
+++ b/bramleycrank/platform/node_file.py
@@ -9,7 +9,7 @@
 from bramleycrank.daemon.voter_keeper import VotingConfig
 from bramleycrank.exceptions import InvalidSettings
 from bramleycrank.membership import MembershipConfig
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.settings import Address, Settings
 
 METRICS_PORT = 9464
@@ -102,7 +102,7 @@
         readiness=_address(entries.get("BindAddrs.ReadinessAddr")),
         control=_address(entries.get("BindAddrs.Control")),
         metrics=Address(ip, METRICS_PORT),
-        extra=ExtraConfig(
+        extra=RetryBudgetConfig(
             ratio=float(entries.get("Bounds.RetryBudgetRatio") or 0.1),
             window_s=float(entries.get("Bounds.RetryWindowS") or 10),
             slack=float(entries.get("Bounds.RetrySlack") or 0),
--- a/bramleycrank/scatter/budget.py
+++ b/bramleycrank/scatter/budget.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class ExtraConfig:
+class RetryBudgetConfig:
     """Bound on the extra sub-requests of all VMs together, for each service.
 
     Parameters
@@ -38,11 +38,11 @@
 
     Parameters
     ----------
-    cfg : ExtraConfig
+    cfg : RetryBudgetConfig
         The bound for all VMs.
     """
 
-    def __init__(self, cfg: ExtraConfig) -> None:
+    def __init__(self, cfg: RetryBudgetConfig) -> None:
         self._cfg = cfg
         self._request_times: deque[float] = deque()
         self._extra_times: deque[float] = deque()
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -10,7 +10,7 @@
 from bramleycrank.query.latency import LatencyEstimate
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot as SnapshotKey
-from bramleycrank.scatter.budget import ExtraConfig, RetryBudget
+from bramleycrank.scatter.budget import RetryBudget, RetryBudgetConfig
 from bramleycrank.scatter.returns import combined_retry_after, service_retry_after, spread
 from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
 
@@ -85,7 +85,7 @@
     ----------
     domain : str
         Failure domain of this VM, whose targets are preferred.
-    extra : ExtraConfig
+    extra : RetryBudgetConfig
         Bound for extra sub-requests.
     has_room : callable
         Returns whether this VM may send one more sub-request to a target.
@@ -98,7 +98,7 @@
     def __init__(
         self,
         domain: str,
-        extra: ExtraConfig,
+        extra: RetryBudgetConfig,
         has_room: Callable[[str], bool],
         vm_count: Callable[[], int],
         rng: random.Random,
--- a/tests/test_entry_controller.py
+++ b/tests/test_entry_controller.py
@@ -14,7 +14,7 @@
 from bramleycrank.platform.headers import PlatformHeaders
 from bramleycrank.proto.log_pb2 import CallerLimits, HttpService, Route, RouteTable, WeightedService
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, TargetRecord
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.policy import WHOLE_REPLICAS
 from bramleycrank.transport.http1 import Http1Server
 
@@ -97,7 +97,7 @@
             PlatformHeaders(),
             routes,
             targets,
-            ExtraConfig(0.2, 10.0, 50.0),
+            RetryBudgetConfig(0.2, 10.0, 50.0),
             NullMetrics(),
             random.Random(1),
         )
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -12,7 +12,7 @@
 from bramleycrank.query.holds import MAX_HOLD_S, RETURN_SPREAD, Holds
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
 
 ONE_SHARD = Snapshot(1, 1)
@@ -99,7 +99,7 @@
 
 def held_policy() -> TargetPolicy:
     """Return a policy with three targets of one service, all held back."""
-    policy = TargetPolicy("a", ExtraConfig(), lambda _: True, lambda: 1, random.Random(4))
+    policy = TargetPolicy("a", RetryBudgetConfig(), lambda _: True, lambda: 1, random.Random(4))
     found = records()
     for item in found:
         del item.replicas[:]
--- a/tests/test_scatter_budget.py
+++ b/tests/test_scatter_budget.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bramleycrank.scatter.budget import ExtraConfig, RetryBudget
+from bramleycrank.scatter.budget import RetryBudget, RetryBudgetConfig
 
-CFG = ExtraConfig(ratio=0.2, window_s=10.0, slack=58.0)
+CFG = RetryBudgetConfig(ratio=0.2, window_s=10.0, slack=58.0)
 
 
 @given(
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -9,7 +9,7 @@
 
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, LoadReport, TargetRecord
 from bramleycrank.scatter import ScatterExecution, TargetAnswer
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
 
 OBJECTIVE_S = 0.12
@@ -17,7 +17,7 @@
 
 def policy_after(slow_share: float, slow_s: float = 0.3) -> TargetPolicy:
     """Return a policy after 500 replies of 20 ms, some of them slow."""
-    policy = TargetPolicy("a", ExtraConfig(0.2, 10.0, 58.0), lambda _: True, lambda: 8, RNG)
+    policy = TargetPolicy("a", RetryBudgetConfig(0.2, 10.0, 58.0), lambda _: True, lambda: 8, RNG)
     record = TargetRecord(
         target_id="t", service="s", state=TARGET_STATE_SERVING, slots=2, replicas=WHOLE_REPLICAS
     )
@@ -60,7 +60,7 @@
 
 def test_a_queue_at_a_target_lowers_its_concurrency_limit():
     """Load pattern: overload, which is visible in the load report of each reply."""
-    policy = TargetPolicy("a", ExtraConfig(), lambda _: True, lambda: 8, random.Random(1))
+    policy = TargetPolicy("a", RetryBudgetConfig(), lambda _: True, lambda: 8, random.Random(1))
     record = TargetRecord(
         target_id="t",
         service="s",
