--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -32,7 +32,7 @@
 )
 from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.delivery import DeliveryEstimate
-from bramleycrank.scatter.returns import spread, until_started
+from bramleycrank.scatter.retry_after import spread, until_started
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
 from bramleycrank.transport.http1.messages import size_of
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -11,7 +11,7 @@
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot as SnapshotKey
 from bramleycrank.scatter.budget import RetryBudget, RetryBudgetConfig
-from bramleycrank.scatter.returns import combined_retry_after, service_retry_after, spread
+from bramleycrank.scatter.retry_after import combined_retry_after, service_retry_after, spread
 from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
 
 SINGLE_SHARD = SnapshotKey(1, 1)
