--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -11,7 +11,7 @@
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot as SnapshotKey
 from bramleycrank.scatter.budget import RetryBudget, RetryBudgetConfig
-from bramleycrank.scatter.retry_after import combined_retry_after, service_retry_after, spread
+from bramleycrank.scatter.retry_after import add_jitter, combined_retry_after, service_retry_after
 from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
 
 SINGLE_SHARD = SnapshotKey(1, 1)
@@ -155,7 +155,7 @@
             service_retry_after(self.table.replicas(name, SINGLE_SHARD, 0), now)
             for name in services
         ]
-        return spread(combined_retry_after(waits_s, needed), self._rng)
+        return add_jitter(combined_retry_after(waits_s, needed), self._rng)
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
         """Return the delay in seconds after which to send a hedge.
--- a/bramleycrank/scatter/retry_after.py
+++ b/bramleycrank/scatter/retry_after.py
@@ -27,7 +27,7 @@
 """Maximum random extension of a retry-after, as a share of it; avoids synchronized retries."""
 
 
-def spread(wait_s: float, rng: random.Random) -> float:
+def add_jitter(wait_s: float, rng: random.Random) -> float:
     """Return the time with a random extension, in seconds.
 
     Load pattern: a fault ends and all callers refused during it retry. Jitter only extends the
