--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -32,7 +32,7 @@
 )
 from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.delivery import DeliveryEstimate
-from bramleycrank.scatter.retry_after import add_jitter, until_started
+from bramleycrank.scatter.retry_after import add_jitter, startup_retry_after
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
 from bramleycrank.transport.http1.messages import size_of
 
@@ -157,7 +157,7 @@
         request = exchange.request
         meta = self._dialect.caller_meta(request)
         if self._index is None:
-            retry_s = add_jitter(until_started(now - self._started), self._rng)
+            retry_s = add_jitter(startup_retry_after(now - self._started), self._rng)
             self._refuse(exchange, meta, 503, retry_s, "no routes are known yet")
             return
         route = self._index.find(request.host.decode("latin-1"), request.path)
--- a/bramleycrank/scatter/retry_after.py
+++ b/bramleycrank/scatter/retry_after.py
@@ -50,7 +50,7 @@
     return sorted(waits_s)[max(1, min(needed, len(waits_s))) - 1]
 
 
-def until_started(uptime_s: float) -> float:
+def startup_retry_after(uptime_s: float) -> float:
     """Return the time in seconds until a VM that is starting should have its routes."""
     return max(MIN_STARTUP_RETRY_AFTER_S, STARTUP_S - uptime_s)
 
