--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -107,7 +107,7 @@
         "a domain cut off",
         ("connections/http_pool", "SILENCE_S", NEVER),
     ),
-    _mechanism("spread returns", "a fault ends", ("scatter/retry_after", "SPREAD", "0.0")),
+    _mechanism("spread returns", "a fault ends", ("scatter/retry_after", "JITTER_SHARE", "0.0")),
     _mechanism(
         "elections soon after a restart",
         "all voters lose power",
--- a/bramleycrank/scatter/retry_after.py
+++ b/bramleycrank/scatter/retry_after.py
@@ -23,7 +23,7 @@
 MIN_STARTUP_RETRY_AFTER_S = 0.1
 """Minimum retry-after of a VM that is starting, in seconds."""
 
-SPREAD = 0.5
+JITTER_SHARE = 0.5
 """Maximum random extension of a retry-after, as a share of it; avoids synchronized retries."""
 
 
@@ -33,7 +33,7 @@
     Load pattern: a fault ends and all callers refused during it retry. Jitter only extends the
     time: callers have few attempts and should not retry before the expected end of the fault.
     """
-    return wait_s * (1 + SPREAD * rng.random())
+    return wait_s * (1 + JITTER_SHARE * rng.random())
 
 
 def service_retry_after(targets: Iterable[TargetState], now: float) -> float:
