--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -28,7 +28,7 @@
     Refusal,
     ScatterExecution,
     SubFailure,
-    TargetAnswer,
+    TargetReply,
 )
 from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.delivery import DeliveryEstimate
@@ -291,7 +291,7 @@
             self._note_failure(call, sub, kind)
             self._execute(call, execution.on_failure(sub.sub_id, SubFailure(kind), now))
             return True
-        answer = TargetAnswer(
+        answer = TargetReply(
             response.status, response.headers, response.body, meta.receipt, meta.load
         )
         if not answer.ok:
--- a/bramleycrank/scatter/__init__.py
+++ b/bramleycrank/scatter/__init__.py
@@ -14,7 +14,7 @@
     Part,
     Refusal,
     SubFailure,
-    TargetAnswer,
+    TargetReply,
 )
 
 __all__ = [
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -24,7 +24,7 @@
     Part,
     Refusal,
     SubFailure,
-    TargetAnswer,
+    TargetReply,
 )
 
 DELIVERY_SHARE = 0.08
@@ -136,7 +136,7 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_answer(self, sub_id: int, answer: TargetAnswer, now: float) -> list[Action]:
+    def on_answer(self, sub_id: int, answer: TargetReply, now: float) -> list[Action]:
         """Handle a complete reply of a target."""
         open_sub = self._open_subs.get(sub_id)
         if open_sub is None:
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -12,7 +12,7 @@
 from bramleycrank.query.types import Snapshot as SnapshotKey
 from bramleycrank.scatter.budget import RetryBudget, RetryBudgetConfig
 from bramleycrank.scatter.retry_after import add_jitter, combined_retry_after, service_retry_after
-from bramleycrank.scatter.types import FailureKind, SubFailure, TargetAnswer
+from bramleycrank.scatter.types import FailureKind, SubFailure, TargetReply
 
 SINGLE_SHARD = SnapshotKey(1, 1)
 """Snapshot assigned to every target of a forwarded service, which is a single shard."""
@@ -67,7 +67,7 @@
         """Count a sub-request in flight."""
 
     def on_answer(
-        self, route: str, target_id: str, answer: TargetAnswer, latency_s: float, now: float
+        self, route: str, target_id: str, answer: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
 
@@ -196,7 +196,7 @@
         self.table.on_sent(target_id, now)
 
     def on_answer(
-        self, route: str, target_id: str, answer: TargetAnswer, latency_s: float, now: float
+        self, route: str, target_id: str, answer: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
         self._latency(route).record(latency_s)
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(eq=False)
-class TargetAnswer:
+class TargetReply:
     """A complete reply of a target, unchanged.
 
     Parameters
@@ -60,7 +60,7 @@
     """Why a sub-request failed, with the target's reply if there is one."""
 
     kind: FailureKind
-    answer: TargetAnswer | None = None
+    answer: TargetReply | None = None
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
 class Answer:
     """Answer the caller with a target's reply."""
 
-    answer: TargetAnswer
+    answer: TargetReply
 
 
 @attrs.frozen
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 
 from bramleycrank.routing import Route
-from bramleycrank.scatter import Forward, ScatterExecution, TargetAnswer
+from bramleycrank.scatter import Forward, ScatterExecution, TargetReply
 
 
 def gather_route(shards: int = 4, **fields: object) -> Route:
@@ -43,9 +43,9 @@
     return Route(**{**defaults, **fields})
 
 
-def answer(status: int = 200, body: bytes = b"", receipt: bytes = b"r") -> TargetAnswer:
+def answer(status: int = 200, body: bytes = b"", receipt: bytes = b"r") -> TargetReply:
     """Return a reply of a target."""
-    return TargetAnswer(status, [], body, receipt)
+    return TargetReply(status, [], body, receipt)
 
 
 class FakePolicy:
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -8,7 +8,7 @@
 from scatter_fakes import FakePolicy, answer, single_route
 
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, LoadReport, TargetRecord
-from bramleycrank.scatter import ScatterExecution, TargetAnswer
+from bramleycrank.scatter import ScatterExecution, TargetReply
 from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
 
@@ -78,7 +78,7 @@
     for number in range(20):
         now = 1.0 + number
         queued = LoadReport(in_flight=8, queued=5, slots=8)
-        policy.on_answer("route", "t", TargetAnswer(200, [], b"", b"r", queued), 0.1, now)
+        policy.on_answer("route", "t", TargetReply(200, [], b"", b"r", queued), 0.1, now)
         policy.on_sent("t", now)
     assert policy.choose("s", (), 30.0) is None
     assert policy.has_targets("s", (), 30.0), "the request must wait, not fail"
