--- a/bramleycrank/daemon/entry_answers.py
+++ b/bramleycrank/daemon/entry_answers.py
@@ -5,11 +5,13 @@
 from bramleycrank.daemon.entry_types import CallerMeta, EntryDialect
 from bramleycrank.routing import Route
 from bramleycrank.scatter import Answer, Merged, Refusal, merge_records
-from bramleycrank.scatter.types import Give
+from bramleycrank.scatter.types import FinalAction
 from bramleycrank.transport.http1.messages import Headers, end_to_end
 
 
-def render(dialect: EntryDialect, meta: CallerMeta, give: Give) -> tuple[int, Headers, bytes, str]:
+def render(
+    dialect: EntryDialect, meta: CallerMeta, give: FinalAction
+) -> tuple[int, Headers, bytes, str]:
     """Return status, headers and body of the response, and a note for the log."""
     match give:
         case Answer(answer=answer):
@@ -23,7 +25,7 @@
             return _refusal_status(give), headers, b"", give.reason
 
 
-def missing_services(route: Route, give: Give) -> list[str]:
+def missing_services(route: Route, give: FinalAction) -> list[str]:
     """Return the services whose part is not in a merged answer."""
     if not isinstance(give, Merged):
         return []
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -18,8 +18,8 @@
     Answer,
     Cancel,
     FailureKind,
+    FinalAction,
     Forward,
-    Give,
     Merged,
     Part,
     Refusal,
@@ -381,7 +381,7 @@
         retry_after_s = self._policy.return_after(missing_services, needed_of_missing, now)
         return self._end_with(Refusal(True, reason, retry_after_s), now)
 
-    def _end_with(self, action: Give, now: float) -> list[Action]:
+    def _end_with(self, action: FinalAction, now: float) -> list[Action]:
         self.ended = True
         # After a success, targets may finish the replies that are no longer needed, which keeps
         # their connections open.
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -139,5 +139,5 @@
     retry_after_s: float = 0.0
 
 
-Give: TypeAlias = Answer | Merged | Refusal
-Action: TypeAlias = Forward | Cancel | Give
+FinalAction: TypeAlias = Answer | Merged | Refusal
+Action: TypeAlias = Forward | Cancel | FinalAction
