--- a/bramleycrank/platform/documents.py
+++ b/bramleycrank/platform/documents.py
@@ -4,7 +4,7 @@
 
 from bramleycrank.platform.fields import Fields, malformed
 from bramleycrank.proto import log_pb2, target_pb2
-from bramleycrank.scatter.policy import WHOLE_REPLICAS
+from bramleycrank.scatter.policy import SINGLE_SHARD_REPLICAS
 
 IDEMPOTENT, NON_IDEMPOTENT = "idempotent", "non_idempotent"
 READY, DRAINING = "ready", "draining"
@@ -98,7 +98,7 @@
         port=int(port),
         domain=fields.text("Zone"),
         slots=min(fields.count("Slots", 1), 2**31),
-        replicas=WHOLE_REPLICAS,
+        replicas=SINGLE_SHARD_REPLICAS,
     )
 
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -17,7 +17,7 @@
 SINGLE_SHARD = SnapshotKey(1, 1)
 """Snapshot assigned to every target of a forwarded service, which is a single shard."""
 
-WHOLE_REPLICAS = (Replica(snapshot=Snapshot(version=1, shard_count=1), shard=0),)
+SINGLE_SHARD_REPLICAS = (Replica(snapshot=Snapshot(version=1, shard_count=1), shard=0),)
 """The same snapshot in the form of a target's report."""
 
 MIN_SAMPLES = 30
--- a/tests/test_entry_controller.py
+++ b/tests/test_entry_controller.py
@@ -15,7 +15,7 @@
 from bramleycrank.proto.log_pb2 import CallerLimits, HttpService, Route, RouteTable, WeightedService
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, TargetRecord
 from bramleycrank.scatter.budget import RetryBudgetConfig
-from bramleycrank.scatter.policy import WHOLE_REPLICAS
+from bramleycrank.scatter.policy import SINGLE_SHARD_REPLICAS
 from bramleycrank.transport.http1 import Http1Server
 
 TABLE = RouteTable(
@@ -77,7 +77,7 @@
                 port=fake.port,
                 domain="d",
                 slots=4,
-                replicas=WHOLE_REPLICAS,
+                replicas=SINGLE_SHARD_REPLICAS,
             )
             for name, fake in self.fakes.items()
             if name[0] == service
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -13,7 +13,7 @@
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot
 from bramleycrank.scatter.budget import RetryBudgetConfig
-from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
+from bramleycrank.scatter.policy import SINGLE_SHARD_REPLICAS, TargetPolicy
 
 ONE_SHARD = Snapshot(1, 1)
 HOLD_S = 1.5
@@ -103,7 +103,7 @@
     found = records()
     for item in found:
         del item.replicas[:]
-        item.replicas.extend(WHOLE_REPLICAS)
+        item.replicas.extend(SINGLE_SHARD_REPLICAS)
     policy.update(SERVICE, found, 0.0)
     for hold_s, name in ((3.0, "ta"), (2.0, "tb"), (4.0, "tc")):
         policy.table.hold(name, 1, hold_s, 0.0)
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -10,7 +10,7 @@
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, LoadReport, TargetRecord
 from bramleycrank.scatter import ScatterExecution, TargetReply
 from bramleycrank.scatter.budget import RetryBudgetConfig
-from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
+from bramleycrank.scatter.policy import SINGLE_SHARD_REPLICAS, TargetPolicy
 
 OBJECTIVE_S = 0.12
 
@@ -19,7 +19,11 @@
     """Return a policy after 500 replies of 20 ms, some of them slow."""
     policy = TargetPolicy("a", RetryBudgetConfig(0.2, 10.0, 58.0), lambda _: True, lambda: 8, RNG)
     record = TargetRecord(
-        target_id="t", service="s", state=TARGET_STATE_SERVING, slots=2, replicas=WHOLE_REPLICAS
+        target_id="t",
+        service="s",
+        state=TARGET_STATE_SERVING,
+        slots=2,
+        replicas=SINGLE_SHARD_REPLICAS,
     )
     policy.update("s", [record], 0.0)
     for number in range(500):
@@ -67,7 +71,7 @@
         state=TARGET_STATE_SERVING,
         domain="a",
         slots=8,
-        replicas=WHOLE_REPLICAS,
+        replicas=SINGLE_SHARD_REPLICAS,
     )
     policy.update("s", [record], 0.0)
     in_flight = 0
