--- a/bramleycrank/daemon/query_controller.py
+++ b/bramleycrank/daemon/query_controller.py
@@ -12,7 +12,7 @@
 from bramleycrank.exceptions import BramleycrankError, Draining, InternalError
 from bramleycrank.filters.admit import AdmitFilter
 from bramleycrank.filters.answer import AnswerFilter
-from bramleycrank.filters.chain import compose, settle_outcome
+from bramleycrank.filters.chain import compose, set_error_outcome
 from bramleycrank.filters.claim import ClaimFilter
 from bramleycrank.filters.classify import ClassifyFilter
 from bramleycrank.filters.dispatch import DispatchFilter
@@ -163,7 +163,7 @@
         except asyncio.CancelledError:
             if task.cancelled():  # by `stop`; the caller is still there
                 error = Draining(retry_after_ms=DRAIN_RETRY_MS)
-                settle_outcome(ctx, error)
+                set_error_outcome(ctx, error)
                 raise error from None
             if ctx.idempotent or not ctx.dispatched:
                 task.cancel()
@@ -178,7 +178,7 @@
             name = answer.outcome
             return answer
         except BramleycrankError as exc:
-            settle_outcome(ctx, exc)
+            set_error_outcome(ctx, exc)
             name = exc.name
             raise
         except asyncio.CancelledError:
@@ -187,7 +187,7 @@
         except Exception:
             log.exception("query: a request failed unexpectedly")
             error = InternalError()
-            settle_outcome(ctx, error)
+            set_error_outcome(ctx, error)
             raise error from None
         finally:
             self._metrics.incr(f"query.requests.{name}")
--- a/bramleycrank/filters/chain.py
+++ b/bramleycrank/filters/chain.py
@@ -22,7 +22,7 @@
     return chain
 
 
-def settle_outcome(ctx: RequestContext, exc: BramleycrankError) -> None:
+def set_error_outcome(ctx: RequestContext, exc: BramleycrankError) -> None:
     """Set the outcome of an error according to what is known about the request.
 
     The outcome is "not run" only if no sub-request was dispatched or every target proved that it
--- a/tests/test_filters_claim.py
+++ b/tests/test_filters_claim.py
@@ -23,7 +23,7 @@
     OutcomeUnknown,
     TargetFailed,
 )
-from bramleycrank.filters.chain import settle_outcome
+from bramleycrank.filters.chain import set_error_outcome
 from bramleycrank.filters.claim import MAX_STORED_ANSWER_BYTES, ClaimFilter
 from bramleycrank.filters.types import RequestContext
 from bramleycrank.query.types import Answer, Attempts, Coverage, QueryRequest, Snapshot
@@ -85,7 +85,7 @@
         try:
             return await task
         except BramleycrankError as exc:
-            settle_outcome(ctx, exc)
+            set_error_outcome(ctx, exc)
             return exc
         except asyncio.CancelledError:
             return None
