--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -227,7 +227,7 @@
     def _spend_unless_first(self, shard: Shard, now: float) -> bool:
         """Spend retry budget unless it is the shard's first sub-request to reach a target."""
         first = not shard.sends and not shard.refused
-        return first or self._policy.take_extra(shard.service, now)
+        return first or self._policy.spend_retry_budget(shard.service, now)
 
     def _send(self, shard: Shard, target_id: str, now: float, actions: list[Action]) -> None:
         sub = Sub(next(self._sub_ids), target_id, now)
@@ -279,7 +279,7 @@
         if scarce and unhedged_shards <= dispensable_shards:
             return False
         target_id = self._policy.choose(shard.service, shard.tried, now)
-        if target_id is None or not self._policy.take_extra(shard.service, now):
+        if target_id is None or not self._policy.spend_retry_budget(shard.service, now):
             return False
         self._send(shard, target_id, now, actions)
         return True
@@ -306,7 +306,7 @@
                 self.waiting.add(shard.service)
                 return True
             return False
-        if not not_sent and not self._policy.take_extra(shard.service, now):
+        if not not_sent and not self._policy.spend_retry_budget(shard.service, now):
             return False
         self._send(shard, target_id, now, actions)
         return True
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -57,7 +57,7 @@
     def is_scarce(self, service: str, now: float) -> bool:
         """Return whether the remaining budget of a service is less than half of the used part."""
 
-    def take_extra(self, service: str, now: float) -> bool:
+    def spend_retry_budget(self, service: str, now: float) -> bool:
         """Spend budget on one extra sub-request; return False if none is left."""
 
     def on_request(self, service: str, now: float) -> None:
@@ -183,7 +183,7 @@
         budget = self._budget(service)
         return budget.available(self._vm_count(), now) * 2 < budget.used
 
-    def take_extra(self, service: str, now: float) -> bool:
+    def spend_retry_budget(self, service: str, now: float) -> bool:
         """Spend budget on one extra sub-request; return False if none is left."""
         return self._budget(service).take(self._vm_count(), now)
 
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -88,7 +88,7 @@
     def is_scarce(self, service: str, now: float) -> bool:
         return self.scarce
 
-    def take_extra(self, service: str, now: float) -> bool:
+    def spend_retry_budget(self, service: str, now: float) -> bool:
         self.extra_left -= 1
         return self.extra_left >= 0
 
