--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -378,7 +378,7 @@
             s.service for s in self._shards if s.part is None and (s.ended or not s.open)
         ]
         needed_of_missing = self._needed - (len(self._shards) - len(missing_services))
-        retry_after_s = self._policy.return_after(missing_services, needed_of_missing, now)
+        retry_after_s = self._policy.estimate_retry_after(missing_services, needed_of_missing, now)
         return self._end_with(Refusal(True, reason, retry_after_s), now)
 
     def _end_with(self, action: FinalAction, now: float) -> list[Action]:
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -48,7 +48,7 @@
     def has_targets(self, service: str, tried: Collection[str], now: float) -> bool:
         """Return whether the service has an untried target, busy or not."""
 
-    def return_after(self, services: Sequence[str], needed: int, now: float) -> float:
+    def estimate_retry_after(self, services: Sequence[str], needed: int, now: float) -> float:
         """Return the time in seconds until enough of the services should accept requests."""
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
@@ -139,7 +139,7 @@
         """Return whether a target of the service can be reached, also one that is held back."""
         return any(not t.down for t in self.table.replicas(service, SINGLE_SHARD, 0))
 
-    def return_after(self, services: Sequence[str], needed: int, now: float) -> float:
+    def estimate_retry_after(self, services: Sequence[str], needed: int, now: float) -> float:
         """Return the time in seconds until enough of the services should accept requests.
 
         Parameters
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -79,7 +79,7 @@
     def has_targets(self, service: str, tried: Collection[str], now: float) -> bool:
         return any(name not in tried for name in self.target_ids(service))
 
-    def return_after(self, services: list[str], needed: int, now: float) -> float:
+    def estimate_retry_after(self, services: list[str], needed: int, now: float) -> float:
         return 0.2
 
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -115,6 +115,6 @@
     assert policy.choose(SERVICE, (), 1.0) is None
     assert not policy.has_targets(SERVICE, (), 1.0), "a request does not wait for them"
     assert policy.is_served(SERVICE), "the VM is not cut off from them"
-    returns_s = {policy.return_after([SERVICE], 1, 1.0) for _ in range(20)}
+    returns_s = {policy.estimate_retry_after([SERVICE], 1, 1.0) for _ in range(20)}
     assert len(returns_s) == 20 and min(returns_s) >= 1.0
     assert policy.choose(SERVICE, (), 2.3) == "tb"
