--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -113,7 +113,7 @@
         """Cancel what is in progress."""
         self._targets.stop()
         for call in list(self._calls):
-            self._execute(call, call.execution.on_caller_gone(self._clock()))
+            self._execute(call, call.execution.on_caller_disconnected(self._clock()))
 
     @property
     def in_flight(self) -> int:
@@ -184,7 +184,7 @@
         self._requests.note(
             "caller gone", call.meta.request_id, now, failed=True, route=call.execution.route.name
         )
-        self._execute(call, call.execution.on_caller_gone(now))
+        self._execute(call, call.execution.on_caller_disconnected(now))
 
     def _refuse(
         self, exchange: Exchange, meta: CallerMeta, status: int, retry_s: float, reason: str
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -174,7 +174,7 @@
             self._mark_lost(shard)
         return [*actions, *self._end_if_settled(now)]
 
-    def on_caller_gone(self, now: float) -> list[Action]:
+    def on_caller_disconnected(self, now: float) -> list[Action]:
         """Cancel all sub-requests because the caller disconnected."""
         if self.ended:
             return []
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -251,7 +251,7 @@
 
 def test_a_disconnect_of_the_caller_cancels_all_sub_requests():
     execution, _, _ = begin(gather_route(), FakePolicy())
-    actions = execution.on_caller_gone(0.02)
+    actions = execution.on_caller_disconnected(0.02)
     assert len(actions_of(Cancel, actions)) == 4 and len(actions) == 4
     assert execution.tick(5.0) == []
 
