--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -169,7 +169,7 @@
             route,
             self._targets.policy,
             self._sub_ids,
-            exchange.arrived - self._delivery.passed(route, meta.wait_s, now),
+            exchange.arrived - self._delivery.elapsed_before_arrival(route, meta.wait_s, now),
             exchange.arrived + wait_s,
             self._delivery.way(route, exchange.round_trip_s),
         )
--- a/bramleycrank/scatter/delivery.py
+++ b/bramleycrank/scatter/delivery.py
@@ -62,7 +62,7 @@
             for name in by_route.keys() - set(names):
                 del by_route[name]
 
-    def passed(self, route: Route, timeout_s: float | None, now: float) -> float:
+    def elapsed_before_arrival(self, route: Route, timeout_s: float | None, now: float) -> float:
         """Return how long the caller had waited before it sent the request, in seconds.
 
         Callers of a route are assumed to have the same timeout. A request with less time left than
--- a/tests/test_scatter_delivery.py
+++ b/tests/test_scatter_delivery.py
@@ -25,33 +25,33 @@
 def test_a_shorter_timeout_than_usual_counts_as_time_already_spent():
     """Load pattern: some requests need a new connection, which takes a round trip."""
     estimate = DeliveryEstimate()
-    assert estimate.passed(ROUTE, 1.08, 0.0) == 0.0
-    assert estimate.passed(ROUTE, 1.073, 1.0) == pytest.approx(0.007)
-    assert estimate.passed(ROUTE, 1.08, 2.0) == 0.0
+    assert estimate.elapsed_before_arrival(ROUTE, 1.08, 0.0) == 0.0
+    assert estimate.elapsed_before_arrival(ROUTE, 1.073, 1.0) == pytest.approx(0.007)
+    assert estimate.elapsed_before_arrival(ROUTE, 1.08, 2.0) == 0.0
 
 
 def test_a_missing_or_much_shorter_timeout_is_ignored():
     estimate = DeliveryEstimate()
-    estimate.passed(ROUTE, 1.08, 0.0)
-    assert estimate.passed(ROUTE, None, 1.0) == 0.0
-    assert estimate.passed(ROUTE, 0.5, 1.0) == 0.0
+    estimate.elapsed_before_arrival(ROUTE, 1.08, 0.0)
+    assert estimate.elapsed_before_arrival(ROUTE, None, 1.0) == 0.0
+    assert estimate.elapsed_before_arrival(ROUTE, 0.5, 1.0) == 0.0
 
 
 def test_a_lasting_decrease_of_caller_timeouts_is_adopted():
     estimate = DeliveryEstimate()
-    estimate.passed(ROUTE, 1.08, 0.0)
+    estimate.elapsed_before_arrival(ROUTE, 1.08, 0.0)
     for step in range(5):
-        elapsed_s = estimate.passed(ROUTE, 1.04, step * TIMEOUT_PERIOD_S * 0.9)
+        elapsed_s = estimate.elapsed_before_arrival(ROUTE, 1.04, step * TIMEOUT_PERIOD_S * 0.9)
     assert elapsed_s == 0.0
 
 
 def test_state_of_removed_routes_is_deleted():
     estimate = DeliveryEstimate()
-    estimate.passed(ROUTE, 1.08, 0.0)
+    estimate.elapsed_before_arrival(ROUTE, 1.08, 0.0)
     estimate.retain({ROUTE.name})
-    assert estimate.passed(ROUTE, 1.04, 1.0) == pytest.approx(0.04)
+    assert estimate.elapsed_before_arrival(ROUTE, 1.04, 1.0) == pytest.approx(0.04)
     estimate.retain(())
-    assert estimate.passed(ROUTE, 1.04, 2.0) == 0.0
+    assert estimate.elapsed_before_arrival(ROUTE, 1.04, 2.0) == 0.0
 
 
 def test_an_answer_is_sent_early_enough_for_its_network_time():
