--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -171,7 +171,7 @@
             self._sub_ids,
             exchange.arrived - self._delivery.elapsed_before_arrival(route, meta.wait_s, now),
             exchange.arrived + wait_s,
-            self._delivery.way(route, exchange.round_trip_s),
+            self._delivery.network_time(route, exchange.round_trip_s),
         )
         call = Call(exchange, meta, execution)
         self._calls.add(call)
--- a/bramleycrank/scatter/delivery.py
+++ b/bramleycrank/scatter/delivery.py
@@ -84,7 +84,7 @@
         elapsed_s = longest - timeout_s
         return elapsed_s if elapsed_s < route.objective_s else 0.0
 
-    def way(self, route: Route, round_trip_s: float | None) -> float:
+    def network_time(self, route: Route, round_trip_s: float | None) -> float:
         """Return the network time of a request and its answer, in seconds."""
         network_s = ROUND_TRIP_S if round_trip_s is None else round_trip_s
         if self._link_bytes_per_s:
--- a/tests/test_scatter_delivery.py
+++ b/tests/test_scatter_delivery.py
@@ -18,8 +18,8 @@
     estimate = DeliveryEstimate(link_bytes_per_s=7e6 / 8)
     for _ in range(40):
         estimate.on_answer(ROUTE, 1750)
-    assert estimate.way(ROUTE, 0.0064) == pytest.approx(0.0084, abs=1e-4)
-    assert DeliveryEstimate().way(ROUTE, None) == ROUND_TRIP_S
+    assert estimate.network_time(ROUTE, 0.0064) == pytest.approx(0.0084, abs=1e-4)
+    assert DeliveryEstimate().network_time(ROUTE, None) == ROUND_TRIP_S
 
 
 def test_a_shorter_timeout_than_usual_counts_as_time_already_spent():
