--- a/bramleycrank/daemon/query_controller.py
+++ b/bramleycrank/daemon/query_controller.py
@@ -254,7 +254,7 @@
         """Return the time of the next periodic refresh."""
         return self._next_refresh
 
-    def on_time(self, now: float) -> None:
+    def on_deadline(self, now: float) -> None:
         """Read the targets of all used services again and report gauges."""
         self._next_refresh = now + REFRESH_S
         self._stale = dict.fromkeys(self._stale, True)
--- a/bramleycrank/filters/admit.py
+++ b/bramleycrank/filters/admit.py
@@ -84,6 +84,6 @@
         """Return the time of the next check of the queues."""
         return self._admission.next_deadline()
 
-    def on_time(self, now: float) -> None:
+    def on_deadline(self, now: float) -> None:
         """Refuse queued requests that cannot be answered in time."""
         self._perform(self._admission.tick(now))
--- a/bramleycrank/filters/dispatch.py
+++ b/bramleycrank/filters/dispatch.py
@@ -72,7 +72,7 @@
         """Return the time of the execution's next tick."""
         return self._execution.next_deadline() if self._execution is not None else None
 
-    def on_time(self, now: float) -> None:
+    def on_deadline(self, now: float) -> None:
         """Let the execution handle the passage of time."""
         if self._execution is not None:
             self._perform(self._execution.tick(now))
--- a/bramleycrank/filters/timer.py
+++ b/bramleycrank/filters/timer.py
@@ -18,7 +18,7 @@
     def next_deadline(self) -> float | None:
         """Return the time of the next run; None if no run is needed."""
 
-    def on_time(self, now: float) -> None:
+    def on_deadline(self, now: float) -> None:
         """Handle the deadline."""
 
 
@@ -80,7 +80,7 @@
         due = item.next_deadline()
         if due is not None and due <= now:
             try:
-                item.on_time(now)
+                item.on_deadline(now)
             except Exception:
                 log.exception("query: a timer callback failed")
                 due = item.next_deadline()
