--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -238,7 +238,7 @@
         self._policy.on_sent(target_id, now)
         if self._may_hedge(shard):
             route = self.route
-            scarce = not route.gather and self._policy.is_scarce(shard.service, now)
+            scarce = not route.gather and self._policy.is_budget_scarce(shard.service, now)
             delay_s = self._policy.hedge_delay(route.name, route.objective_s, scarce=scarce)
             shard.hedge_at = now + delay_s
             self._next_hedge_at = min(self._next_hedge_at, shard.hedge_at)
@@ -275,7 +275,7 @@
         reserved for the shards that the minimum coverage still needs.
         """
         dispensable_shards = len(self._shards) - self._lost - self._needed
-        scarce = self.route.gather and self._policy.is_scarce(shard.service, now)
+        scarce = self.route.gather and self._policy.is_budget_scarce(shard.service, now)
         if scarce and unhedged_shards <= dispensable_shards:
             return False
         target_id = self._policy.choose(shard.service, shard.tried, now)
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -54,7 +54,7 @@
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
         """Return the delay in seconds after which to send a hedge."""
 
-    def is_scarce(self, service: str, now: float) -> bool:
+    def is_budget_scarce(self, service: str, now: float) -> bool:
         """Return whether the remaining budget of a service is less than half of the used part."""
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
@@ -178,7 +178,7 @@
         # Slow targets raise the quantile, so that a hedge could be sent too late for the objective.
         return min(delay_s, objective_s * LATEST_HEDGE_SHARE) if objective_s else delay_s
 
-    def is_scarce(self, service: str, now: float) -> bool:
+    def is_budget_scarce(self, service: str, now: float) -> bool:
         """Return whether the remaining budget of a service is less than half of the used part."""
         budget = self._budget(service)
         return budget.available(self._vm_count(), now) * 2 < budget.used
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -85,7 +85,7 @@
     def hedge_delay(self, route: str, objective_s: float, *, scarce: bool) -> float:
         return self.hedge_delay_s
 
-    def is_scarce(self, service: str, now: float) -> bool:
+    def is_budget_scarce(self, service: str, now: float) -> bool:
         return self.scarce
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -51,10 +51,10 @@
 
 def test_a_scarce_budget_raises_the_hedge_delay():
     policy = policy_after(0.2)
-    assert not policy.is_scarce("s", 5.0)
+    assert not policy.is_budget_scarce("s", 5.0)
     while policy.spend_retry_budget("s", 5.0):
         pass
-    assert policy.is_scarce("s", 5.0)
+    assert policy.is_budget_scarce("s", 5.0)
     assert policy.hedge_delay("route", OBJECTIVE_S, scarce=True) > OBJECTIVE_S
 
 
