--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -144,7 +144,7 @@
                 del self._subs[conn]  # the connection becomes idle once it is open
                 sub.listener.on_lost(sub, sent=False, garbled=False)
 
-    def cancel(self, sub: PoolSub, *, overtaken: bool) -> None:
+    def cancel(self, sub: PoolSub, *, superseded: bool) -> None:
         """Give a sub-request up; its listener hears only `on_given_up`."""
         conn = sub.conn
         if conn is None or self._subs.get(conn) is not sub:
@@ -152,7 +152,7 @@
         if not sub.sent:
             del self._subs[conn]  # the connection becomes idle once it is open
             sub.listener.on_given_up(sub, Ending.CANCELLED)
-        elif overtaken:
+        elif superseded:
             sub.linger_until = self._clock() + LINGER_S
             self._lingering.add(sub)
         else:
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -211,7 +211,7 @@
                 case Cancel():
                     sub = call.subs.pop(action.sub_id, None)
                     if sub is not None:
-                        self._targets.pool.cancel(sub, overtaken=action.overtaken)
+                        self._targets.pool.cancel(sub, superseded=action.superseded)
                 case Answer() | Merged() | Refusal():
                     self._give(call, action)
         if call.execution.ended:
--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -216,11 +216,11 @@
         return out
 
     def _cancel(
-        self, subs: Collection[Sub], overtaken: bool, now: float, out: list[Action]
+        self, subs: Collection[Sub], superseded: bool, now: float, out: list[Action]
     ) -> None:
         for sub in subs:
             self._close(sub)
-            elapsed = now - sub.sent_at if overtaken else 0.0
+            elapsed = now - sub.sent_at if superseded else 0.0
             self._policy.on_cancelled(self.req.service, sub.target_id, elapsed, sub.first, now)
             out.append(CancelSub(sub.sub_id, sub.target_id))
 
@@ -383,10 +383,10 @@
         late = open_reason == MissingReason.TIMEOUT
         return [*out, Fail(build_error(self._shards, late, outcome, self._retry_after_ms))]
 
-    def _stop(self, now: float, overtaken: bool) -> list[Action]:
+    def _stop(self, now: float, superseded: bool) -> list[Action]:
         self.ended = True
         out: list[Action] = []
-        self._cancel(list(self._open.values()), overtaken, now, out)
+        self._cancel(list(self._open.values()), superseded, now, out)
         return out
 
     def next_deadline(self) -> float | None:
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -323,17 +323,17 @@
         self._end_shard(shard)
         self._lost += 1
 
-    def _cancel(self, shard: Shard, overtaken: bool, now: float) -> list[Action]:
+    def _cancel(self, shard: Shard, superseded: bool, now: float) -> list[Action]:
         actions: list[Action] = []
         for sub in list(shard.open):
             self._remove_sub(shard, sub)
-            if overtaken:
+            if superseded:
                 self._policy.on_overtaken(self.route.name, now - sub.sent_at)
-            actions.append(Cancel(sub.sub_id, sub.target_id, overtaken))
+            actions.append(Cancel(sub.sub_id, sub.target_id, superseded))
         return actions
 
-    def _cancel_all(self, now: float, *, overtaken: bool = False) -> list[Action]:
-        return [a for shard in self._shards for a in self._cancel(shard, overtaken, now)]
+    def _cancel_all(self, now: float, *, superseded: bool = False) -> list[Action]:
+        return [a for shard in self._shards for a in self._cancel(shard, superseded, now)]
 
     # End of the request.
 
@@ -385,5 +385,5 @@
         self.ended = True
         # After a success, targets may finish the replies that are no longer needed, which keeps
         # their connections open.
-        overtaken = not isinstance(action, Refusal)
-        return [*self._cancel_all(now, overtaken=overtaken), action]
+        superseded = not isinstance(action, Refusal)
+        return [*self._cancel_all(now, superseded=superseded), action]
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -101,7 +101,7 @@
 
     sub_id: int
     target_id: str
-    overtaken: bool
+    superseded: bool
 
 
 @attrs.frozen
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -63,7 +63,7 @@
         self.services_without_targets: set[str] = set()  # services without targets
         self.sent: list[str] = []
         self.failures: list[tuple[str, str]] = []
-        self.overtaken: list[float] = []
+        self.superseded: list[float] = []
 
     def target_ids(self, service: str) -> list[str]:
         """Return the targets of a service."""
@@ -105,7 +105,7 @@
         self.failures.append((target_id, failure.kind))
 
     def on_overtaken(self, route: str, elapsed_s: float) -> None:
-        self.overtaken.append(elapsed_s)
+        self.superseded.append(elapsed_s)
 
 
 def begin(route: Route, policy: FakePolicy, deadline: float = 2.0):
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -160,7 +160,7 @@
     world = World()
     sub = world.send(1)
     world.conns[0].open()
-    world.pool.cancel(sub, overtaken=True)
+    world.pool.cancel(sub, superseded=True)
     world.conns[0].answer()
     assert world.heard == [("late", 1), (Ending.ANSWERED, 1)] and not world.conns[0].closed
 
@@ -169,7 +169,7 @@
     world = World()
     sub = world.send(1)
     world.conns[0].open()
-    world.pool.cancel(sub, overtaken=True)
+    world.pool.cancel(sub, superseded=True)
     world.run(0.3)
     world.conns[1].open()  # the target is reachable
     world.run(LINGER_S)
@@ -180,7 +180,7 @@
     world = World()
     sub = world.send(1)
     world.conns[0].open()
-    world.pool.cancel(sub, overtaken=False)
+    world.pool.cancel(sub, superseded=False)
     assert world.conns[0].closed and world.heard == [(Ending.CANCELLED, 1)]
 
 
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -76,7 +76,7 @@
     [refusal] = actions_of(Refusal, actions)
     assert not refusal.not_run, "lost sub-requests may have run"
     assert {c.sub_id for c in actions_of(Cancel, actions)} == {subs["s2"].sub_id, subs["s3"].sub_id}
-    assert not any(c.overtaken for c in actions_of(Cancel, actions))
+    assert not any(c.superseded for c in actions_of(Cancel, actions))
 
 
 LOST = SubFailure(FailureKind.LOST)
