--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -328,7 +328,7 @@
         for sub in list(shard.open):
             self._remove_sub(shard, sub)
             if superseded:
-                self._policy.on_overtaken(self.route.name, now - sub.sent_at)
+                self._policy.on_superseded(self.route.name, now - sub.sent_at)
             actions.append(Cancel(sub.sub_id, sub.target_id, superseded))
         return actions
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -74,7 +74,7 @@
     def on_failure(self, target_id: str, failure: SubFailure, now: float) -> None:
         """Record a failure."""
 
-    def on_overtaken(self, route: str, elapsed_s: float) -> None:
+    def on_superseded(self, route: str, elapsed_s: float) -> None:
         """Record the time after which a sub-request was overtaken by another one."""
 
 
@@ -213,7 +213,7 @@
         else:
             self.table.on_failure(target_id, now)
 
-    def on_overtaken(self, route: str, elapsed_s: float) -> None:
+    def on_superseded(self, route: str, elapsed_s: float) -> None:
         """Record the time after which a sub-request was overtaken by another one.
 
         The time is recorded as a latency, of which it is a lower bound. Otherwise hedges would hide
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -104,7 +104,7 @@
     def on_failure(self, target_id, failure, now) -> None:
         self.failures.append((target_id, failure.kind))
 
-    def on_overtaken(self, route: str, elapsed_s: float) -> None:
+    def on_superseded(self, route: str, elapsed_s: float) -> None:
         self.superseded.append(elapsed_s)
 
 
