--- a/bramleycrank/scatter/budget.py
+++ b/bramleycrank/scatter/budget.py
@@ -66,7 +66,7 @@
         allowed = self._cfg.ratio * len(self._request_times) + self._cfg.slack / max(1, vm_count)
         return SAFETY_FACTOR * allowed - len(self._extra_times)
 
-    def take(self, vm_count: int, now: float) -> bool:
+    def try_spend(self, vm_count: int, now: float) -> bool:
         """Spend budget on one extra sub-request; return False if none is left."""
         if self.available(vm_count, now) < 1:
             self.denied += 1
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -185,7 +185,7 @@
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
         """Spend budget on one extra sub-request; return False if none is left."""
-        return self._budget(service).take(self._vm_count(), now)
+        return self._budget(service).try_spend(self._vm_count(), now)
 
     def on_request(self, service: str, now: float) -> None:
         """Count a request for a service, which raises its budget."""
--- a/tests/test_scatter_budget.py
+++ b/tests/test_scatter_budget.py
@@ -22,7 +22,7 @@
         now += interval_s
         budget = budgets[vm % vm_count]
         if wants_extra:
-            if budget.take(vm_count, now):
+            if budget.try_spend(vm_count, now):
                 extra_times.append(now)
         else:
             budget.earn(now)
@@ -35,7 +35,7 @@
 
 def test_a_vm_without_requests_is_limited_to_its_share_of_the_slack():
     budget = RetryBudget(CFG)
-    assert sum(budget.take(8, 0.0) for _ in range(100)) == 5
-    assert not budget.take(8, 9.0)
-    assert budget.take(8, 10.1)
+    assert sum(budget.try_spend(8, 0.0) for _ in range(100)) == 5
+    assert not budget.try_spend(8, 9.0)
+    assert budget.try_spend(8, 10.1)
     assert budget.denied == 96
