--- a/bramleycrank/scatter/budget.py
+++ b/bramleycrank/scatter/budget.py
@@ -53,7 +53,7 @@
         """Extra sub-requests in the window that ended at the last call of `available`."""
         return len(self._extra_times)
 
-    def earn(self, now: float) -> None:
+    def add_request(self, now: float) -> None:
         """Count a request, which raises the budget."""
         self._request_times.append(now)
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -189,7 +189,7 @@
 
     def on_request(self, service: str, now: float) -> None:
         """Count a request for a service, which raises its budget."""
-        self._budget(service).earn(now)
+        self._budget(service).add_request(now)
 
     def on_sent(self, target_id: str, now: float) -> None:
         """Count a sub-request in flight."""
--- a/tests/test_scatter_budget.py
+++ b/tests/test_scatter_budget.py
@@ -25,7 +25,7 @@
             if budget.try_spend(vm_count, now):
                 extra_times.append(now)
         else:
-            budget.earn(now)
+            budget.add_request(now)
             request_times.append(now)
     for end in extra_times:
         sent = sum(end - CFG.window_s < at <= end for at in extra_times)
