--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -251,7 +251,7 @@
 
     def _send_hedges(self, now: float, actions: list[Action]) -> None:
         """Send the hedges that are due, unless replies are still streaming in."""
-        no_hedge_before = self._stream.until(self._lost)
+        no_hedge_before = self._stream.next_reply_due(self._lost)
         unhedged_shards = sum(not s.ended and len(s.open) < 2 for s in self._shards)
         for shard in self._shards:
             if shard.ended or now < shard.hedge_at:
--- a/bramleycrank/scatter/stream.py
+++ b/bramleycrank/scatter/stream.py
@@ -42,7 +42,7 @@
         self.count += 1
         self.last_at = now
 
-    def until(self, lost: int) -> float:
+    def next_reply_due(self, lost: int) -> float:
         """Return when the next reply should have come without a hedge; 0 if there is no stream.
 
         Parameters
