--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -11,7 +11,7 @@
 from bramleycrank.scatter.merge import trim_records
 from bramleycrank.scatter.policy import ScatterPolicy
 from bramleycrank.scatter.progress import Shard, Sub
-from bramleycrank.scatter.stream import LATEST_STREAM_SHARE, AnswerStream
+from bramleycrank.scatter.stream import LATEST_STREAM_SHARE, ReplyStream
 from bramleycrank.scatter.types import (
     NOT_RUN_KINDS,
     Action,
@@ -85,7 +85,7 @@
         self._shards = [Shard(service) for service in services]
         self._open_subs: dict[int, tuple[Shard, Sub]] = {}
         stream_deadline = arrived + LATEST_STREAM_SHARE * route.objective_s
-        self._stream = AnswerStream(len(self._shards), stream_deadline)
+        self._stream = ReplyStream(len(self._shards), stream_deadline)
         self._lost = 0
         # Lower bound of the shards' hedge times; recomputed when it has passed.
         self._next_hedge_at = math.inf
--- a/bramleycrank/scatter/stream.py
+++ b/bramleycrank/scatter/stream.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class AnswerStream:
+class ReplyStream:
     """Arrival times of the replies to one request.
 
     Load pattern: many shards behind a link of low bandwidth or a slow processor. The missing
