--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -58,7 +58,7 @@
         """Return whether the remaining budget of a service is less than half of the used part."""
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
-        """Spend budget on one extra sub-request; return False if none is left."""
+        """Spend budget on one budget_cfg sub-request; return False if none is left."""
 
     def on_request(self, service: str, now: float) -> None:
         """Count a request for a service, which raises its budget."""
@@ -85,8 +85,8 @@
     ----------
     domain : str
         Failure domain of this VM, whose targets are preferred.
-    extra : RetryBudgetConfig
-        Bound for extra sub-requests.
+    budget_cfg : RetryBudgetConfig
+        Bound for budget_cfg sub-requests.
     has_room : callable
         Returns whether this VM may send one more sub-request to a target.
     vm_count : callable
@@ -98,13 +98,13 @@
     def __init__(
         self,
         domain: str,
-        extra: RetryBudgetConfig,
+        budget_cfg: RetryBudgetConfig,
         has_room: Callable[[str], bool],
         vm_count: Callable[[], int],
         rng: random.Random,
     ) -> None:
         self.table = ReplicaTable(domain, rng, warmup_s=0.0)
-        self._extra = extra
+        self._extra = budget_cfg
         self._rng = rng
         self._has_room = has_room
         self._vm_count = vm_count
@@ -184,7 +184,7 @@
         return budget.available(self._vm_count(), now) * 2 < budget.used
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
-        """Spend budget on one extra sub-request; return False if none is left."""
+        """Spend budget on one budget_cfg sub-request; return False if none is left."""
         return self._budget(service).try_spend(self._vm_count(), now)
 
     def on_request(self, service: str, now: float) -> None:
