--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -104,7 +104,7 @@
         rng: random.Random,
     ) -> None:
         self.table = ReplicaTable(domain, rng, warmup_s=0.0)
-        self._extra = budget_cfg
+        self._budget_cfg = budget_cfg
         self._rng = rng
         self._has_room = has_room
         self._vm_count = vm_count
@@ -257,7 +257,7 @@
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(self._extra)
+            budget = self._budgets[service] = RetryBudget(self._budget_cfg)
         return budget
 
     def _latency(self, route: str) -> LatencyEstimate:
