--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -136,22 +136,22 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_answer(self, sub_id: int, answer: TargetReply, now: float) -> list[Action]:
+    def on_answer(self, sub_id: int, reply: TargetReply, now: float) -> list[Action]:
         """Handle a complete reply of a target."""
         open_sub = self._open_subs.get(sub_id)
         if open_sub is None:
             return []
         shard, sub = open_sub
-        if not answer.ok and (self.route.gather or answer.status >= 500):
-            return self.on_failure(sub_id, SubFailure(FailureKind.ERROR, answer), now)
+        if not reply.ok and (self.route.gather or reply.status >= 500):
+            return self.on_failure(sub_id, SubFailure(FailureKind.ERROR, reply), now)
         self._remove_sub(shard, sub)
         self._may_have_run = True
-        self._policy.on_answer(self.route.name, sub.target_id, answer, now - sub.sent_at, now)
+        self._policy.on_answer(self.route.name, sub.target_id, reply, now - sub.sent_at, now)
         if not self.route.gather:
-            return self._end_with(Answer(answer), now)
+            return self._end_with(Answer(reply), now)
         # Other records cannot be in the answer; trimming saves memory until all shards replied.
-        body = trim_records(answer.body, self.route.top_records)
-        shard.part = Part(shard.service, answer.receipt, body)
+        body = trim_records(reply.body, self.route.top_records)
+        shard.part = Part(shard.service, reply.receipt, body)
         actions = self._cancel(shard, True, now)
         self._end_shard(shard)
         self._stream.on_answer(now)
@@ -360,9 +360,9 @@
 
     def _end_without_answer(self, now: float) -> list[Action]:
         failure = next((s.failure for s in self._shards if s.failure is not None), None)
-        answer = failure.answer if failure is not None else None
-        if not self.route.gather and answer is not None:
-            return self._end_with(Answer(answer), now)
+        reply = failure.reply if failure is not None else None
+        if not self.route.gather and reply is not None:
+            return self._end_with(Answer(reply), now)
         reason = f"sub-request {failure.kind}" if failure else "no target is known"
         return self._refuse(reason, now)
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -67,7 +67,7 @@
         """Count a sub-request in flight."""
 
     def on_answer(
-        self, route: str, target_id: str, answer: TargetReply, latency_s: float, now: float
+        self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
 
@@ -196,14 +196,14 @@
         self.table.on_sent(target_id, now)
 
     def on_answer(
-        self, route: str, target_id: str, answer: TargetReply, latency_s: float, now: float
+        self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
         self._latency(route).record(latency_s)
         self.table.on_reply(target_id, latency_s, now)
-        if answer.load is not None:
-            self.table.on_load(target_id, answer.load, now)
-            if answer.load.queued:
+        if reply.load is not None:
+            self.table.on_load(target_id, reply.load, now)
+            if reply.load.queued:
                 self.table.on_queued(target_id, now)
 
     def on_failure(self, target_id: str, failure: SubFailure, now: float) -> None:
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -60,7 +60,7 @@
     """Why a sub-request failed, with the target's reply if there is one."""
 
     kind: FailureKind
-    answer: TargetReply | None = None
+    reply: TargetReply | None = None
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
 class Answer:
     """Answer the caller with a target's reply."""
 
-    answer: TargetReply
+    reply: TargetReply
 
 
 @attrs.frozen
