--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -58,7 +58,7 @@
         """Return whether the remaining budget of a service is less than half of the used part."""
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
-        """Spend budget on one budget_cfg sub-request; return False if none is left."""
+        """Spend budget on one extra sub-request; return False if none is left."""
 
     def on_request(self, service: str, now: float) -> None:
         """Count a request for a service, which raises its budget."""
@@ -75,7 +75,7 @@
         """Record a failure."""
 
     def on_superseded(self, route: str, elapsed_s: float) -> None:
-        """Record the time after which a sub-request was overtaken by another one."""
+        """Record the time after which a sub-request was superseded by another one."""
 
 
 class TargetPolicy:
@@ -86,7 +86,7 @@
     domain : str
         Failure domain of this VM, whose targets are preferred.
     budget_cfg : RetryBudgetConfig
-        Bound for budget_cfg sub-requests.
+        Bound for extra sub-requests.
     has_room : callable
         Returns whether this VM may send one more sub-request to a target.
     vm_count : callable
@@ -184,7 +184,7 @@
         return budget.available(self._vm_count(), now) * 2 < budget.used
 
     def spend_retry_budget(self, service: str, now: float) -> bool:
-        """Spend budget on one budget_cfg sub-request; return False if none is left."""
+        """Spend budget on one extra sub-request; return False if none is left."""
         return self._budget(service).try_spend(self._vm_count(), now)
 
     def on_request(self, service: str, now: float) -> None:
@@ -214,7 +214,7 @@
             self.table.on_failure(target_id, now)
 
     def on_superseded(self, route: str, elapsed_s: float) -> None:
-        """Record the time after which a sub-request was overtaken by another one.
+        """Record the time after which a sub-request was superseded by another one.
 
         The time is recorded as a latency, of which it is a lower bound. Otherwise hedges would hide
         the slow replies from the estimate, and the hedge delay would shrink with every hedge.
--- a/bramleycrank/scatter/stream.py
+++ b/bramleycrank/scatter/stream.py
@@ -1,4 +1,4 @@
-"""Detection of part replies that still arrive in a steady stream."""
+"""Detection of replies that still arrive in a steady stream."""
 
 from __future__ import annotations
 
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    overtaken : bool
+    superseded : bool
         Whether another target replied first. The target may then finish, which keeps the
         connection open; otherwise the connection is closed.
     """
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -32,7 +32,7 @@
     assert merged.missing == 0
 
 
-def test_a_stalled_shard_is_hedged_and_the_overtaken_target_may_finish():
+def test_a_stalled_shard_is_hedged_and_the_superseded_target_may_finish():
     """Load pattern: one replica stalls for longer than the objective."""
     execution, subs, _ = begin(gather_route(), FakePolicy())
     for service in ("s0", "s1", "s2"):
