--- a/bramleycrank/daemon/entry_answers.py
+++ b/bramleycrank/daemon/entry_answers.py
@@ -14,8 +14,8 @@
 ) -> tuple[int, Headers, bytes, str]:
     """Return status, headers and body of the response, and a note for the log."""
     match give:
-        case Answer(reply=reply):
-            return reply.status, end_to_end(reply.headers), reply.body, "answered"
+        case Answer(answer=answer):
+            return answer.status, end_to_end(answer.headers), answer.body, "answered"
         case Merged():
             receipts = [part.receipt for part in give.parts]
             body = merge_records((part.body for part in give.parts), give.top_records)
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -60,7 +60,7 @@
     """Why a sub-request failed, with the target's reply if there is one."""
 
     kind: FailureKind
-    reply: TargetReply | None = None
+    answer: TargetReply | None = None
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
 class Answer:
     """Answer the caller with a target's reply."""
 
-    reply: TargetReply
+    answer: TargetReply
 
 
 @attrs.frozen
