--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -360,7 +360,7 @@
 
     def _end_without_answer(self, now: float) -> list[Action]:
         failure = next((s.failure for s in self._shards if s.failure is not None), None)
-        reply = failure.reply if failure is not None else None
+        reply = failure.answer if failure is not None else None
         if not self.route.gather and reply is not None:
             return self._end_with(Answer(reply), now)
         reason = f"sub-request {failure.kind}" if failure else "no target is known"
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -60,7 +60,7 @@
         self.scarce = False
         self.choose_calls = 0
         self.busy: set[str] = set()
-        self.services_without_targets: set[str] = set()  # services without targets
+        self.services_without_targets: set[str] = set()
         self.sent: list[str] = []
         self.failures: list[tuple[str, str]] = []
         self.superseded: list[float] = []
