--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -43,7 +43,7 @@
     return Route(**{**defaults, **fields})
 
 
-def answer(status: int = 200, body: bytes = b"", receipt: bytes = b"r") -> TargetReply:
+def target_reply(status: int = 200, body: bytes = b"", receipt: bytes = b"r") -> TargetReply:
     """Return a reply of a target."""
     return TargetReply(status, [], body, receipt)
 
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -5,7 +5,7 @@
 import itertools
 import random
 
-from scatter_fakes import FakePolicy, answer, single_route
+from scatter_fakes import FakePolicy, single_route, target_reply
 
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, LoadReport, TargetRecord
 from bramleycrank.scatter import ScatterExecution, TargetReply
@@ -31,7 +31,7 @@
         slow = number % 100 < slow_share * 100
         policy.on_request("s", now)
         policy.on_sent("t", now)
-        policy.on_answer("route", "t", answer(), slow_s if slow else 0.02, now)
+        policy.on_answer("route", "t", target_reply(), slow_s if slow else 0.02, now)
     return policy
 
 
