--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -28,11 +28,11 @@
     Refusal,
     ScatterExecution,
     SubFailure,
-    TargetAnswer,
+    TargetReply,
 )
-from bramleycrank.scatter.budget import ExtraConfig
+from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.scatter.delivery import DeliveryEstimate
-from bramleycrank.scatter.returns import spread, until_started
+from bramleycrank.scatter.retry_after import add_jitter, startup_retry_after
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
 from bramleycrank.transport.http1.messages import size_of
 
@@ -56,7 +56,7 @@
         Source of the routes.
     targets : Targets
         Source of the targets.
-    extra : ExtraConfig
+    extra : RetryBudgetConfig
         Bound for extra sub-requests.
     metrics : Metrics
         Receiver of metrics.
@@ -78,7 +78,7 @@
         dialect: EntryDialect,
         routes: Routes,
         targets: Targets,
-        extra: ExtraConfig,
+        extra: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
         is_cut_off: Callable[[], bool] = lambda: False,
@@ -113,7 +113,7 @@
         """Cancel what is in progress."""
         self._targets.stop()
         for call in list(self._calls):
-            self._execute(call, call.execution.on_caller_gone(self._clock()))
+            self._execute(call, call.execution.on_caller_disconnected(self._clock()))
 
     @property
     def in_flight(self) -> int:
@@ -157,7 +157,7 @@
         request = exchange.request
         meta = self._dialect.caller_meta(request)
         if self._index is None:
-            retry_s = spread(until_started(now - self._started), self._rng)
+            retry_s = add_jitter(startup_retry_after(now - self._started), self._rng)
             self._refuse(exchange, meta, 503, retry_s, "no routes are known yet")
             return
         route = self._index.find(request.host.decode("latin-1"), request.path)
@@ -169,9 +169,9 @@
             route,
             self._targets.policy,
             self._sub_ids,
-            exchange.arrived - self._delivery.passed(route, meta.wait_s, now),
+            exchange.arrived - self._delivery.elapsed_before_arrival(route, meta.wait_s, now),
             exchange.arrived + wait_s,
-            self._delivery.way(route, exchange.round_trip_s),
+            self._delivery.network_time(route, exchange.round_trip_s),
         )
         call = Call(exchange, meta, execution)
         self._calls.add(call)
@@ -184,7 +184,7 @@
         self._requests.note(
             "caller gone", call.meta.request_id, now, failed=True, route=call.execution.route.name
         )
-        self._execute(call, call.execution.on_caller_gone(now))
+        self._execute(call, call.execution.on_caller_disconnected(now))
 
     def _refuse(
         self, exchange: Exchange, meta: CallerMeta, status: int, retry_s: float, reason: str
@@ -291,7 +291,7 @@
             self._note_failure(call, sub, kind)
             self._execute(call, execution.on_failure(sub.sub_id, SubFailure(kind), now))
             return True
-        answer = TargetAnswer(
+        answer = TargetReply(
             response.status, response.headers, response.body, meta.receipt, meta.load
         )
         if not answer.ok:
--- a/bramleycrank/scatter/__init__.py
+++ b/bramleycrank/scatter/__init__.py
@@ -1,6 +1,6 @@
-"""Execution of forwarded requests over one or many services, without I/O."""
+"""Execution of requests that are forwarded to one or several services, without I/O."""
 
-from bramleycrank.scatter.budget import ExtraBudget
+from bramleycrank.scatter.budget import RetryBudget
 from bramleycrank.scatter.execution import ScatterExecution
 from bramleycrank.scatter.merge import merge_records
 from bramleycrank.scatter.policy import ScatterPolicy
@@ -8,28 +8,28 @@
     Answer,
     Cancel,
     FailureKind,
+    FinalAction,
     Forward,
-    Give,
     Merged,
     Part,
     Refusal,
     SubFailure,
-    TargetAnswer,
+    TargetReply,
 )
 
 __all__ = [
     "Answer",
     "Cancel",
-    "ExtraBudget",
     "FailureKind",
+    "FinalAction",
     "Forward",
-    "Give",
     "Merged",
     "Part",
     "Refusal",
+    "RetryBudget",
     "ScatterExecution",
     "ScatterPolicy",
     "SubFailure",
-    "TargetAnswer",
+    "TargetReply",
     "merge_records",
 ]
--- a/tests/test_query_holds.py
+++ b/tests/test_query_holds.py
@@ -12,8 +12,8 @@
 from bramleycrank.query.holds import HOLD_JITTER_SHARE, MAX_HOLD_S, Holds
 from bramleycrank.query.replicas import ReplicaTable
 from bramleycrank.query.types import Snapshot
-from bramleycrank.scatter.budget import ExtraConfig
-from bramleycrank.scatter.policy import WHOLE_REPLICAS, TargetPolicy
+from bramleycrank.scatter.budget import RetryBudgetConfig
+from bramleycrank.scatter.policy import SINGLE_SHARD_REPLICAS, TargetPolicy
 
 ONE_SHARD = Snapshot(1, 1)
 HOLD_S = 1.5
@@ -99,11 +99,11 @@
 
 def held_policy() -> TargetPolicy:
     """Return a policy with three targets of one service, all held back."""
-    policy = TargetPolicy("a", ExtraConfig(), lambda _: True, lambda: 1, random.Random(4))
+    policy = TargetPolicy("a", RetryBudgetConfig(), lambda _: True, lambda: 1, random.Random(4))
     found = records()
     for item in found:
         del item.replicas[:]
-        item.replicas.extend(WHOLE_REPLICAS)
+        item.replicas.extend(SINGLE_SHARD_REPLICAS)
     policy.update(SERVICE, found, 0.0)
     for hold_s, name in ((3.0, "ta"), (2.0, "tb"), (4.0, "tc")):
         policy.table.hold(name, 1, hold_s, 0.0)
@@ -115,6 +115,6 @@
     assert policy.choose(SERVICE, (), 1.0) is None
     assert not policy.has_targets(SERVICE, (), 1.0), "a request does not wait for held targets"
     assert policy.is_served(SERVICE), "the targets are reachable"
-    retry_after_s = {policy.return_after([SERVICE], 1, 1.0) for _ in range(20)}
+    retry_after_s = {policy.estimate_retry_after([SERVICE], 1, 1.0) for _ in range(20)}
     assert len(retry_after_s) == 20 and min(retry_after_s) >= 1.0
     assert policy.choose(SERVICE, (), 2.3) == "tb"
