--- a/bramleycrank/membership/__init__.py
+++ b/bramleycrank/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of VMs and registry of targets, without I/O."""
+"""Membership of VMs and registry of targets, free of I/O."""
 
 from bramleycrank.membership.target_registry import TargetRegistry
 from bramleycrank.membership.types import (
--- a/bramleycrank/membership/borders.py
+++ b/bramleycrank/membership/borders.py
@@ -1,10 +1,10 @@
-"""Which VMs of other failure domains a VM talks to, and how much crosses the border.
+"""Selection of the VMs that a VM probes and exchanges records with.
 
-Load pattern: hundreds of VMs in a few failure domains, where bytes between domains are dear. With
-partners drawn at random most messages cross a border, and each change crosses it once for each VM
-and transmission. Here every VM talks to all VMs of its own domain and to a few fixed partners in
-each other one, so the messages across a border grow with the number of VMs only, and the copies of
-a change not at all.
+Load pattern: hundreds of VMs in a few failure domains, where traffic between domains is expensive.
+With partners chosen at random most messages would cross a domain boundary, and each change would
+cross it once for each VM and transmission. Instead every VM probes all VMs of its own domain and a
+few fixed partners in each other domain. The messages across a boundary then grow linearly with the
+number of VMs, and the copies of a change across it do not grow.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from bramleycrank.proto.peer_pb2 import VmRecord
 
 PARTNERS = 4
-"""VMs of each other domain that a VM probes and exchanges with; small domains are known whole."""
+"""VMs of each other domain that a VM probes; of a smaller domain it probes all."""
 
 CARRIERS = 4
-"""VMs of a domain that carry a change to each other domain, on average; one of them may be down."""
+"""Mean number of VMs of a domain that send a change to other domains; one of them may be down."""
 
 DIRECT_MEMBERS = 8
-"""VMs of another domain up to which each is told of a leaving target directly."""
+"""Largest size of another domain for which a leaving target is pushed to each of its VMs."""
 
 RELAYS = 3
-"""VMs of a larger domain that are told of a leaving target and tell the others of their domain."""
+"""VMs of a larger domain to which a leaving target is pushed; they forward it in their domain."""
 
 
 @attrs.frozen
 class Ring:
-    """The VMs that a VM probes and exchanges with.
+    """The VMs that a VM probes and exchanges records with.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
     far_domains : int
         Number of other domains.
     whole : bool
-        Whether the ring has all VMs.
+        Whether all VMs are included.
     """
 
     near: tuple[VmRecord, ...]
@@ -54,31 +54,31 @@
 
     @classmethod
     def from_peers(cls, local: VmRecord, peers: Iterable[VmRecord]) -> Ring:
-        """Choose the partners by rendezvous hashing, so that each VM has about as many probers."""
+        """Choose partners by rendezvous hashing, which spreads the probes evenly over the VMs."""
         near, others = split_by_domain(local, peers)
         far = [
             record
             for members in others
-            for record in sorted(members, key=lambda rec: _rank(local, rec))[:PARTNERS]
+            for record in sorted(members, key=lambda rec: _rendezvous_rank(local, rec))[:PARTNERS]
         ]
         whole = len(far) == sum(map(len, others))
         return cls(tuple(near), tuple(far), len(others), whole)
 
     @property
     def members(self) -> tuple[VmRecord, ...]:
-        """Near and far members."""
+        """All members, those of the own domain first."""
         return self.near + self.far
 
     @property
     def carried_share(self) -> float:
-        """Chance that this VM carries a change across the borders."""
+        """Probability that this VM sends a change to other domains."""
         return min(1.0, CARRIERS / (len(self.near) + 1))
 
 
 def split_by_domain(
     local: VmRecord, peers: Iterable[VmRecord]
 ) -> tuple[list[VmRecord], list[list[VmRecord]]]:
-    """Return the VMs of the own domain, and those of each other one."""
+    """Return the VMs of the own domain, and a list of VMs for each other domain."""
     domains: dict[str, list[VmRecord]] = defaultdict(list)
     for record in peers:
         domains[record.domain].append(record)
@@ -87,7 +87,7 @@
 
 
 def direct_receivers(local: VmRecord, peers: Iterable[VmRecord], rng: Random) -> list[VmRecord]:
-    """Return the VMs to tell of a leaving target; they reach the rest of their domains."""
+    """Return the VMs to push a leaving target to; they forward it in their domains."""
     near, others = split_by_domain(local, peers)
     far = (
         members if len(members) <= DIRECT_MEMBERS else rng.sample(members, RELAYS)
@@ -99,14 +99,16 @@
 def spread_sample(
     local: VmRecord, peers: Iterable[VmRecord], count: int, rng: Random
 ) -> list[VmRecord]:
-    """Return some VMs, as evenly over the domains as their sizes allow."""
+    """Return random VMs, spread over the domains as evenly as the domain sizes allow."""
     near, others = split_by_domain(local, peers)
     groups = [rng.sample(members, len(members)) for members in (near, *others)]
     rng.shuffle(groups)
-    turns = max(map(len, groups), default=0)
-    in_turn = (group[turn] for turn in range(turns) for group in groups if turn < len(group))
-    return [record for _, record in zip(range(count), in_turn, strict=False)]
+    rounds = max(map(len, groups), default=0)
+    interleaved = (
+        group[index] for index in range(rounds) for group in groups if index < len(group)
+    )
+    return [record for _, record in zip(range(count), interleaved, strict=False)]
 
 
-def _rank(local: VmRecord, record: VmRecord) -> int:
+def _rendezvous_rank(local: VmRecord, record: VmRecord) -> int:
     return xxhash.xxh64_intdigest(f"{local.vm_id}\n{record.vm_id}".encode())
--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Changes that ride on probes: each is sent a bounded number of times."""
+"""Queue of the record changes to send with probes, each a bounded number of times."""
 
 from __future__ import annotations
 
@@ -11,48 +11,50 @@
 from bramleycrank.membership.records import Key
 
 HEARD_ENOUGH = 3
-"""Times that a change is heard from others after which it is passed on no more in the domain."""
+"""Received copies of a change after which a VM no longer sends it in its own domain."""
 
 
 @attrs.define
-class _Item:
-    """A change that is still being spread."""
+class _Change:
+    """A change that is still being sent."""
 
     key: Key
-    size: int
+    size_bytes: int
     urgent: bool
-    draw: float  # decides whether this VM carries the change across borders
+    sender_draw: float  # in [0, 1); decides whether this VM sends the change to other domains
     sent: int = 0
-    sent_far: int = 0
-    heard: int = 0
+    sent_remote: int = 0
+    received_copies: int = 0
 
 
 class GossipQueue:
-    """Picks the changes for each message.
+    """Selects the changes for each message.
 
     A change is sent at most ``3 * log2(n + 1)`` times in a group of ``n`` VMs, which reaches every
-    member with high probability; anti-entropy repairs the rest. Urgent changes go first, then the
-    ones that were sent least often. A newer change of the same record replaces the older one.
+    member with high probability; anti-entropy delivers it to the rest. Urgent changes are sent
+    first, then the ones that were sent least often. A newer change of a record replaces the older
+    one.
 
-    A VM that hears the same change from others passes it on less: after ``HEARD_ENOUGH`` times most
-    of its domain has it. In a group whose domains are large, only a few VMs of each carry a change
-    to the others.
+    In a group with large domains, a VM stops sending a change within its domain after it received
+    ``HEARD_ENOUGH`` copies, because most of the domain has it then. Only a few VMs of each domain
+    send a change to other domains.
 
     Parameters
     ----------
     vm_id : str
-        This VM; with each change it decides who carries it.
+        Id of this VM. A hash of it and the change decides whether this VM sends the change to other
+        domains.
     """
 
     def __init__(self, vm_id: str) -> None:
         self._vm_id = vm_id
-        self._items: dict[str, _Item] = {}
+        self._changes: dict[str, _Change] = {}
 
     def __len__(self) -> int:
-        return len(self._items)
+        return len(self._changes)
 
-    def add(self, record_id: str, key: Key, size: int, *, urgent: bool = False) -> None:
-        """Start to spread a change.
+    def add(self, record_id: str, key: Key, size_bytes: int, *, urgent: bool = False) -> None:
+        """Add a change to the queue.
 
         Parameters
         ----------
@@ -63,56 +65,62 @@
         size : int
             Size of the serialized record, in bytes.
         urgent : bool, optional
-            Whether the change goes before others.
+            Whether the change is sent before others.
         """
-        draw = xxhash.xxh64_intdigest(f"{self._vm_id}\n{record_id}\n{key}".encode()) / 2**64
-        self._items[record_id] = _Item(key, size, urgent, draw)
+        sender_draw = xxhash.xxh64_intdigest(f"{self._vm_id}\n{record_id}\n{key}".encode()) / 2**64
+        self._changes[record_id] = _Change(key, size_bytes, urgent, sender_draw)
 
     def hear(self, record_id: str) -> None:
-        """Note that another VM sent the same record."""
-        item = self._items.get(record_id)
-        if item is not None:
-            item.heard += 1
+        """Count a received copy of a change that this VM already has."""
+        change = self._changes.get(record_id)
+        if change is not None:
+            change.received_copies += 1
 
     def discard(self, record_id: str) -> None:
-        """Stop spreading the change of a record."""
-        self._items.pop(record_id, None)
+        """Remove the change of a record."""
+        self._changes.pop(record_id, None)
 
-    def take(self, ring: Ring, max_bytes: int, *, far: bool) -> list[str]:
-        """Return the ids of the records to put into one message.
+    def take(self, ring: Ring, max_bytes: int, *, is_remote: bool) -> list[str]:
+        """Return the ids of the records to put into one message and count them as sent.
 
         Parameters
         ----------
         ring : Ring
-            The VMs that this one talks to.
+            The VMs that this VM probes.
         max_bytes : int
-            Bound for the sum of the records' sizes. A single larger record is sent alone.
+            Limit for the sum of the record sizes. A record that is larger is sent alone.
         far : bool
             Whether the receiver is in another failure domain.
         """
-        limit = retransmissions(len(ring.members if ring.whole else ring.near) + 1)
-        carried_only = far and not ring.whole
-        taken: list[str] = []
-        left = max_bytes
-        order = sorted(self._items.items(), key=lambda kv: (not kv[1].urgent, kv[1].sent))
-        for record_id, item in order:
-            near_done = item.sent >= limit or (item.heard >= HEARD_ENOUGH and not ring.whole)
-            far_done = item.draw >= ring.carried_share or item.sent_far >= ring.far_domains
-            if near_done and (ring.whole or far_done):
-                del self._items[record_id]
+        limit = max_transmissions(len(ring.members if ring.whole else ring.near) + 1)
+        is_cross_domain = is_remote and not ring.whole
+        selected: list[str] = []
+        free_bytes = max_bytes
+        ordered = sorted(
+            self._changes.items(), key=lambda entry: (not entry[1].urgent, entry[1].sent)
+        )
+        for record_id, change in ordered:
+            local_done = change.sent >= limit or (
+                change.received_copies >= HEARD_ENOUGH and not ring.whole
+            )
+            remote_done = (
+                change.sender_draw >= ring.carried_share or change.sent_remote >= ring.far_domains
+            )
+            if local_done and (ring.whole or remote_done):
+                del self._changes[record_id]
                 continue
-            done = far_done if carried_only else near_done
-            if done or (item.size > left and taken):
+            done = remote_done if is_cross_domain else local_done
+            if done or (change.size_bytes > free_bytes and selected):
                 continue
-            taken.append(record_id)
-            left -= item.size
-            item.sent_far += far
-            item.sent += not carried_only
-            if left <= 0:
+            selected.append(record_id)
+            free_bytes -= change.size_bytes
+            change.sent_remote += is_remote
+            change.sent += not is_cross_domain
+            if free_bytes <= 0:
                 break
-        return taken
+        return selected
 
 
-def retransmissions(vm_count: int) -> int:
-    """Return how often a change is sent in a group of the given size."""
+def max_transmissions(vm_count: int) -> int:
+    """Return the maximum number of times that a VM sends a change in a group of the given size."""
     return max(3, math.ceil(3 * math.log2(vm_count + 1)))
--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -1,4 +1,4 @@
-"""Failure detection: one direct probe a period, then indirect probes, then suspicion."""
+"""Failure detection: one direct probe per period, then indirect probes, then suspicion."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @attrs.define
 class _Probe:
-    """A probe without an answer; `vm_id` is empty for an address whose VM is unknown."""
+    """A probe that awaits its reply; `vm_id` is empty for an address whose VM is unknown."""
 
     vm_id: str
     address: str
@@ -30,16 +30,16 @@
 
 
 class Prober:
-    """Probes one member a period and one address where an unreachable VM may come back.
+    """Probes one member and one address of an unreachable VM in each period.
 
     Parameters
     ----------
     view : GroupView
-        What this VM knows.
+        Records that this VM has.
     seeds : tuple of str
-        Addresses of the settings.
+        Seed addresses of the settings.
     rng : random.Random
-        Source of the probe order.
+        Source of the random probe order.
     now : float
         Current time in seconds.
     """
@@ -50,38 +50,38 @@
         self._rng = rng
         self._next_id = 0
         self._order: list[str] = []
-        self._far_order: list[str] = []
-        self._far_turn = False
+        self._remote_order: list[str] = []
+        self._is_remote_turn = False
         self._probes: dict[int, _Probe] = {}
         self._awaited: str | None = None
-        self.was_paused = False  # set after a pause of this process, reset by the reader
+        self.was_paused = False  # set after a pause of this process; VmMembership resets it
         self.next_at = now + rng.uniform(0, view.cfg.probe_period_s)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other VMs that are tried while they are unreachable."""
+        """Replace the seed addresses, which are probed while no live VM has them."""
         self._seeds = seeds
 
     def tick(self, now: float) -> list[Action]:
-        """Conclude the period that ends and start the next one."""
+        """End the current period, if it is over, and start the next one."""
         if now < self.next_at:
             return []
-        late_s = now - self.next_at
+        delay_s = now - self.next_at
         period = self._view.cfg.probe_period_s
-        self.next_at = now + period if late_s > period else self.next_at + period
+        self.next_at = now + period if delay_s > period else self.next_at + period
         actions: list[Action] = []
-        if late_s > period:
-            # After a pause of this process the answers may still wait in its sockets.
+        if delay_s > period:
+            # After a pause of this process the replies may still be unread in its sockets.
             self.was_paused = True
-            self._view.vms.postpone(late_s)
+            self._view.vms.postpone(delay_s)
             self._awaited = None
         else:
-            actions += self._conclude(now)
+            actions += self._suspect_awaited(now)
         for record in self._view.vms.overdue_suspects(now):
             actions += self._view.merge_vm(record, now)
         self._view.forget_gone(now)
         return actions + self._probe_next(now) + self._probe_unreachable(now)
 
-    def _conclude(self, now: float) -> list[Action]:
+    def _suspect_awaited(self, now: float) -> list[Action]:
         awaited, self._awaited = self._awaited, None
         record = self._view.vms.get(awaited) if awaited else None
         if record is None or record.state not in (VM_STATE_ALIVE, VM_STATE_DRAINING):
@@ -96,20 +96,23 @@
         return [self._send(_Probe(record.vm_id, address_of(record), direct=True), now)]
 
     def _next_member(self) -> VmRecord | None:
-        """Return the next member of a shuffled round, which bounds the time to detect a death.
+        """Return the next member of a shuffled round, which bounds the time to detect a failure.
 
-        A small group has one round. In a large one every second probe goes to another domain, so
-        that each VM hears of other domains about once in two periods.
+        A small group has one round over all members. In a large one every second probe goes to
+        another domain, so that each VM receives a message from other domains about every two
+        periods.
         """
         ring = self._view.vms.ring()
         if ring.whole or not ring.far:
-            return self._next_of(self._order, ring.members)
-        self._far_turn = not self._far_turn
-        if self._far_turn:
-            return self._next_of(self._far_order, ring.far)
-        return self._next_of(self._order, ring.near) or self._next_of(self._far_order, ring.far)
-
-    def _next_of(self, order: list[str], members: tuple[VmRecord, ...]) -> VmRecord | None:
+            return self._pop_live_member(self._order, ring.members)
+        self._is_remote_turn = not self._is_remote_turn
+        if self._is_remote_turn:
+            return self._pop_live_member(self._remote_order, ring.far)
+        return self._pop_live_member(self._order, ring.near) or self._pop_live_member(
+            self._remote_order, ring.far
+        )
+
+    def _pop_live_member(self, order: list[str], members: tuple[VmRecord, ...]) -> VmRecord | None:
         for _ in range(2):
             while order:
                 vm_id = order.pop()
@@ -120,7 +123,7 @@
         return None
 
     def _probe_unreachable(self, now: float) -> list[Action]:
-        """Probe one address where a dead or former VM may be back, so that cuts heal fast."""
+        """Probe one address of an unreachable VM, so that a healed partition is detected soon."""
         local = address_of(self._view.vms.local)
         vm_ids = self._view.vms.unreachable(self._seeds)
         vm_ids.pop(local, None)
@@ -136,49 +139,49 @@
         timeout_s = self._view.cfg.probe_timeout_s
         if target is not None:
             request.indirect_target.CopyFrom(target)
-            timeout_s *= 1.25  # the relaying VM uses timeout_s; both probes end within the period
+            timeout_s *= 1.25  # the relay uses timeout_s; both probes end within the period
         return SendProbe(self._next_id, probe.address, request, timeout_s)
 
     def owns(self, probe_id: int) -> bool:
-        """Return whether a probe belongs to the failure detection."""
+        """Return whether a probe was sent by this prober and is still open."""
         return probe_id in self._probes
 
     def on_reply(self, probe_id: int, reply: ProbeReply, now: float) -> tuple[list[Action], str]:
-        """Take an answer.
+        """Handle the reply to a probe.
 
         Returns
         -------
         list of Action
-            Changes.
+            Changes of records.
         str
-            Address of a VM that came back and needs an anti-entropy exchange, or empty.
+            Address of a VM that is reachable again and needs an anti-entropy exchange, or empty.
         """
         probe = self._probes.pop(probe_id)
-        returning = probe.reconnect and not self._view.is_live(reply.gossip.sender.vm_id)
-        answered = reply.gossip.sender.vm_id == probe.vm_id if probe.direct else reply.indirect_ok
+        is_reachable_again = probe.reconnect and not self._view.is_live(reply.gossip.sender.vm_id)
+        is_alive = reply.gossip.sender.vm_id == probe.vm_id if probe.direct else reply.indirect_ok
         actions = self._view.merge(reply.gossip, now)
-        if probe.vm_id == self._awaited and answered:
+        if probe.vm_id == self._awaited and is_alive:
             self._awaited = None
-        return actions, probe.address if returning else ""
+        return actions, probe.address if is_reachable_again else ""
 
     def on_failed(self, probe_id: int, now: float) -> list[Action]:
-        """Ask other VMs to probe a member that did not answer directly."""
+        """Ask other VMs to probe a member that did not reply to a direct probe."""
         probe = self._probes.pop(probe_id)
         target = self._view.vms.get(probe.vm_id)
         if not probe.direct or probe.vm_id != self._awaited or target is None:
             return []
-        helpers = [rec for rec in self._view.vms.ring().members if rec.vm_id != probe.vm_id]
-        count = min(self._view.cfg.indirect_probes, len(helpers))
+        relays = [rec for rec in self._view.vms.ring().members if rec.vm_id != probe.vm_id]
+        count = min(self._view.cfg.indirect_probes, len(relays))
         return [
-            self._send(_Probe(probe.vm_id, address_of(helper), direct=False), now, target)
-            for helper in self._rng.sample(helpers, count)
+            self._send(_Probe(probe.vm_id, address_of(relay_vm), direct=False), now, target)
+            for relay_vm in self._rng.sample(relays, count)
         ]
 
     def relay(self, target: VmRecord, now: float) -> RelayProbe:
-        """Return the probe that another VM asked for."""
+        """Return the probe that another VM requested."""
         request = ProbeRequest(gossip=self._view.gossip(now, target.vm_id))
         return RelayProbe(address_of(target), request, self._view.cfg.probe_timeout_s)
 
     def dump(self) -> dict[str, object]:
-        """Return the member that the current period waits for."""
+        """Return the member whose reply is awaited and the number of open probes."""
         return {"awaited": self._awaited, "open_probes": len(self._probes)}
--- a/bramleycrank/membership/records.py
+++ b/bramleycrank/membership/records.py
@@ -1,8 +1,8 @@
 """Order and hashes of VM and target records.
 
-Each kind of record has a total order, so two VMs that exchanged the same records hold the same
-ones, whatever the order of arrival. The content hash comes last in the order: it decides between
-records that two VMs wrote on both sides of a cut with the same incarnation and sequence.
+Each kind of record has a total order, so two VMs that received the same records keep the same
+ones, whatever the order of arrival. The content hash is the last element of the order: it decides
+between records that VMs on both sides of a partition wrote with the same incarnation and sequence.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 
 def state_name(record: VmRecord | TargetRecord) -> str:
-    """Return the state of a record in words, for logs and dumps.
+    """Return the name of the state of a record in lower case, for logs and dumps.
 
-    A state that a newer version sent has no name here; its number is returned.
+    For a state that only a newer version of the software knows, its number is returned.
     """
     states, prefix = TargetState, "TARGET_STATE_"
     if isinstance(record, VmRecord):
         states, prefix = VmState, "VM_STATE_"
-    known = states.DESCRIPTOR.values_by_number.get(record.state)
-    return known.name.removeprefix(prefix).lower() if known else str(record.state)
+    value = states.DESCRIPTOR.values_by_number.get(record.state)
+    return value.name.removeprefix(prefix).lower() if value else str(record.state)
 
 
 def address_of(record: VmRecord | TargetRecord) -> str:
@@ -55,7 +55,7 @@
 
 def vm_key(record: VmRecord) -> Key:
     """Return the order key of a VM record: incarnation, state, 0, content hash."""
-    return record.incarnation, record.state, 0, _hash(record)
+    return record.incarnation, record.state, 0, _content_hash(record)
 
 
 def target_key(record: TargetRecord) -> Key:
@@ -64,23 +64,23 @@
     `ended_age_s` is not part of the content, because it grows while the record stays the same.
     """
     rank = int(record.state == TARGET_STATE_LEAVING)
-    return record.incarnation, rank, record.sequence, _hash(without_age(record))
+    return record.incarnation, rank, record.sequence, _content_hash(without_age(record))
 
 
 def without_age(record: TargetRecord) -> TargetRecord:
-    """Return the record without its age; a copy only if it has one."""
+    """Return the record without `ended_age_s`; it is copied only if it has one."""
     return with_age(record, 0) if record.ended_age_s else record
 
 
 def with_age(record: TargetRecord, age_s: int) -> TargetRecord:
-    """Return a copy of the record with an age in whole seconds."""
+    """Return a copy of the record with `ended_age_s` set, in whole seconds."""
     copy = TargetRecord()
     copy.CopyFrom(record)
     copy.ended_age_s = age_s
     return copy
 
 
-def _hash(record: VmRecord | TargetRecord) -> int:
+def _content_hash(record: VmRecord | TargetRecord) -> int:
     return xxhash.xxh64_intdigest(record.SerializeToString(deterministic=True))
 
 
@@ -103,7 +103,7 @@
 
 
 def digest_key(item: RecordDigest) -> Key:
-    """Return the order key that a digest stands for."""
+    """Return the order key of the record that a digest describes."""
     if item.id.startswith("vm/"):
         return item.incarnation, item.state, 0, item.content_hash
     rank = int(item.state == TARGET_STATE_LEAVING)
@@ -111,7 +111,7 @@
 
 
 def combine(key: Key) -> int:
-    """Return the contribution of a record to its bucket's hash; contributions are xor-ed.
+    """Return the contribution of a record to the hash of its bucket; contributions are XORed.
 
     The content hash covers the id and all other parts of the key.
     """
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -1,4 +1,4 @@
-"""Registry of targets: announcements, leases and leaving."""
+"""Registry of targets: reports, leases and leaving."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
     TargetRecord,
 )
 
-# A larger record could not travel in one gossip message of 32 KiB beside others.
+# A larger record would not fit into a gossip message of 32 KiB together with others.
 MAX_RECORD_BYTES = 16 * 1024
 
-# Number of VMs of its own domain that a VM forwards a LEAVING record to when it first learns of it.
-# It carries the record through domains of which the home VM tells a few, and bounds the spread when
-# the push of the home VM misses others, for example through an uneven cut.
+# Number of VMs of its own domain to which a VM forwards a LEAVING record that is new to it. This
+# distributes the record in domains where the home VM pushes it to a few VMs only, and reaches VMs
+# that the push of the home VM misses, for example because of a partial partition.
 FORWARD_FANOUT = 3
 
-# Number of VMs that a home VM tells at once of targets that are new to it. Gossip alone takes a few
-# probe periods, in which VMs that have just started could serve nothing.
+# Number of VMs to which a home VM pushes targets that are new to it. Gossip alone takes a few probe
+# periods, during which VMs that have just started would have no targets.
 NEW_FANOUT = 8
 
 
 @attrs.define
 class _Lease:
-    """A lease that this VM holds for a target."""
+    """The lease of a target whose home VM is this VM."""
 
     incarnation: int
-    sequence: int  # highest one that the target itself announced
+    sequence: int  # highest one in a report of the target
     until: float
 
 
 class TargetRegistry:
-    """Targets known to this VM, and the leases of those that announce to it.
+    """Stores the targets known to this VM, and the leases of those that report to it.
 
     The home VM assigns the sequence of a record, because it writes EXPIRED records between the
-    announcements of the target. A late announcement with a lower sequence than the last one is
-    answered but changes nothing.
+    reports of the target. A late report with a lower sequence than the last one is acknowledged but
+    changes nothing.
 
     Parameters
     ----------
     cfg : MembershipConfig
         Options.
     vm_id : str
-        This VM.
+        Id of this VM.
     now : float
         Current time in seconds.
     """
@@ -69,7 +69,7 @@
         self._table = TargetTable(cfg, vm_id)
         self._leases: dict[str, _Lease] = {}
         self._last_tick = now
-        self._new: dict[str, TargetRecord] = {}
+        self._new_targets: dict[str, TargetRecord] = {}
 
     @classmethod
     def from_config(cls, cfg: MembershipConfig, vm_id: str, now: float) -> TargetRegistry:
@@ -77,7 +77,7 @@
         return cls(cfg, vm_id, now)
 
     def announce(self, request: AnnounceRequest, now: float) -> tuple[AnnounceReply, list[Action]]:
-        """Take a target's announcement or renewal and become its home VM.
+        """Handle a target's report and become its home VM.
 
         Parameters
         ----------
@@ -96,7 +96,7 @@
         Raises
         ------
         InvalidRequest
-            If a field is invalid, the incarnation is older than the known one, or the target left
+            If a field is invalid, the incarnation is lower than the known one, or the target left
             in this incarnation.
         """
         record = request.record
@@ -116,7 +116,7 @@
             return self._reply(), []
         actions = self._store(new, now)
         if actions and not self._was_usable(known, record.incarnation):
-            self._new[record.target_id] = new
+            self._new_targets[record.target_id] = new
         return self._reply(), actions
 
     @staticmethod
@@ -156,7 +156,7 @@
         )
 
     def leave(self, request: LeaveRequest, now: float) -> list[Action]:
-        """Record that a target leaves in an incarnation; final for this incarnation.
+        """Record that a target leaves; this is final for its incarnation.
 
         Parameters
         ----------
@@ -168,8 +168,8 @@
         Returns
         -------
         list of Action
-            `TargetChanged` and `PushRecords` to all VMs; the push is repeated for a repeated
-            request, because the first one may have failed.
+            `TargetChanged` and `PushRecords` to all VMs. A repeated request pushes the record
+            again, because the first push may have failed.
         """
         known = self._table.get(request.target_id)
         if known is not None and known.incarnation > request.incarnation:
@@ -180,33 +180,34 @@
             and known.state == TARGET_STATE_LEAVING
         ):
             return [PushRecords((self._table.outgoing(request.target_id, now),))]
-        left = _ended(known or TargetRecord(), TARGET_STATE_LEAVING, self._vm_id)
-        left.target_id, left.incarnation = request.target_id, request.incarnation
-        return [*self._store(left, now), PushRecords((left,))]
+        leaving = _ended_record(known or TargetRecord(), TARGET_STATE_LEAVING, self._vm_id)
+        leaving.target_id, leaving.incarnation = request.target_id, request.incarnation
+        return [*self._store(leaving, now), PushRecords((leaving,))]
 
     def note_leaving(self, target_id: str, incarnation: int, now: float) -> list[Action]:
-        """Record that a target told this VM that it leaves; final for this incarnation.
+        """Record that a target leaves, as its reply to this VM states; final for its incarnation.
 
-        The target tells each VM that asks it, and reports it as well, so a few VMs are told here.
+        The target also sends a report to its home VM and the same state in its replies to other
+        VMs, so a push to a few VMs is enough.
 
         Returns
         -------
         list of Action
-            `TargetChanged` and `PushRecords` to a few VMs, if that was not known yet.
+            `TargetChanged` and `PushRecords` to a few VMs; empty if it was known already.
         """
         known = self._table.get(target_id)
         if known is None or known.incarnation != incarnation:
             return []
         if known.state == TARGET_STATE_LEAVING:
             return []
-        left = _ended(known, TARGET_STATE_LEAVING, self._vm_id)
-        push = PushRecords((left,), fanout=FORWARD_FANOUT, near_only=True)
-        return [*self._store(left, now), push]
+        leaving = _ended_record(known, TARGET_STATE_LEAVING, self._vm_id)
+        push = PushRecords((leaving,), fanout=FORWARD_FANOUT, near_only=True)
+        return [*self._store(leaving, now), push]
 
     def merge(
         self, records: Iterable[TargetRecord], now: float, *, spread: bool = True
     ) -> list[Action]:
-        """Take the records of another VM that are newer than the own ones.
+        """Store the records of another VM that are newer than the own ones.
 
         Parameters
         ----------
@@ -215,24 +216,24 @@
         now : float
             Current time in seconds.
         spread : bool, optional
-            Whether the records are passed on with the gossip of this VM.
+            Whether the stored records are gossiped by this VM.
 
         Returns
         -------
         list of Action
             `TargetChanged` for each change; `PushRecords` to a few VMs for targets that were
-            usable here and leave.
+            usable on this VM and leave.
         """
         actions: list[Action] = []
-        forward = []
+        to_forward = []
         for record in records:
             was_usable = self._table.is_usable(record.target_id)
             changes = self._store(record, now, spread=spread)
             actions += changes
             if changes and was_usable and record.state == TARGET_STATE_LEAVING:
-                forward.append(record)
-        if forward:
-            actions.append(PushRecords(tuple(forward), fanout=FORWARD_FANOUT, near_only=True))
+                to_forward.append(record)
+        if to_forward:
+            actions.append(PushRecords(tuple(to_forward), fanout=FORWARD_FANOUT, near_only=True))
         return actions
 
     def _store(self, record: TargetRecord, now: float, *, spread: bool = True) -> list[Action]:
@@ -253,10 +254,10 @@
         return [TargetChanged(stored)]
 
     def _adjust_lease(self, record: TargetRecord, now: float) -> None:
-        """Keep leases only for live records whose home is this VM.
+        """Keep leases only for records that have not ended and whose home is this VM.
 
-        A record that names this VM as home without a lease stems from before a restart or a cut;
-        it gets one lease time, in which the target renews or the record expires.
+        A record with this VM as its home but without a lease dates from before a restart or a
+        partition. It gets a lease, within which the target renews it or the record expires.
         """
         if record.home_vm != self._vm_id or record.state in ENDED_STATES:
             self._leases.pop(record.target_id, None)
@@ -264,14 +265,14 @@
             self._leases[record.target_id] = _Lease(record.incarnation, 0, now + self._cfg.lease_s)
 
     def on_vm(self, record: VmRecord, now: float) -> list[Action]:
-        """Note a change of a VM, which may be the home of targets."""
+        """Handle a change of a VM, which may be the home VM of targets."""
         changed = self._table.set_home(record.vm_id, record.state in LIVE_STATES, now)
         return [TargetChanged(rec) for rec in changed]
 
     def tick(self, now: float) -> list[Action]:
-        """Expire leases and apply the retention of records.
+        """Expire leases and remove records after their retention time.
 
-        If this process was paused for longer than half a lease, renewals may still wait in its
+        If this process was paused for longer than half a lease, renewals may still be unread in its
         sockets, so the leases are extended by the pause.
         """
         pause_s = now - self._last_tick
@@ -280,31 +281,33 @@
             for lease in self._leases.values():
                 lease.until += pause_s
         actions: list[Action] = []
-        for target_id in [i for i, lease in self._leases.items() if lease.until <= now]:
+        for target_id in [
+            expired_id for expired_id, lease in self._leases.items() if lease.until <= now
+        ]:
             del self._leases[target_id]
             known = self._table.get(target_id)
             if known is not None:
-                actions += self._store(_ended(known, TARGET_STATE_EXPIRED, self._vm_id), now)
+                actions += self._store(_ended_record(known, TARGET_STATE_EXPIRED, self._vm_id), now)
         actions += (TargetChanged(rec) for rec in self._table.tick(now))
         return actions
 
     @property
     def has_new(self) -> bool:
-        """Whether other VMs are still to be told of targets that are new here."""
-        return bool(self._new)
+        """Whether targets that are new on this VM are still to be pushed to other VMs."""
+        return bool(self._new_targets)
 
     def push_new(self) -> list[Action]:
-        """Return the push of all targets that are new since the last one."""
-        new = tuple(self._new.values())
-        self._new.clear()
+        """Return the push of all targets that are new since the last call."""
+        new = tuple(self._new_targets.values())
+        self._new_targets.clear()
         return [PushRecords(new, fanout=NEW_FANOUT)] if new else []
 
     def usable(self, service: str, now: float) -> list[TargetRecord]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that may get new sub-requests."""
         return self._table.usable(service)
 
     def is_usable(self, target_id: str) -> bool:
-        """Return whether new work may go to a target."""
+        """Return whether a target may get new sub-requests."""
         return self._table.is_usable(target_id)
 
     def get(self, target_id: str) -> TargetRecord | None:
@@ -312,7 +315,7 @@
         return self._table.get(target_id)
 
     def all_records(self) -> list[TargetRecord]:
-        """Return all records, the ended ones included."""
+        """Return all records, including LEAVING and EXPIRED ones."""
         return self._table.records()
 
     def key(self, target_id: str) -> Key | None:
@@ -320,7 +323,7 @@
         return self._table.key(target_id)
 
     def outgoing(self, target_id: str, now: float) -> TargetRecord | None:
-        """Return a record as it is sent to another VM, or None."""
+        """Return a record as it is sent to other VMs, or None."""
         return self._table.outgoing(target_id, now)
 
     def entries(
@@ -335,21 +338,23 @@
         buckets : iterable of int, optional
             Digest buckets; all by default.
         held : bool, optional
-            Whether to yield also the records that are kept but not advertised.
+            Whether to include the records that are kept but not advertised.
         """
         return self._table.entries(now, buckets, held=held)
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return records, leases and the changes that are still being spread."""
+        """Return the records, the leases and the number of queued changes."""
         return {
             "targets": self._table.dump(now),
-            "leases": {i: round(lease.until - now, 3) for i, lease in self._leases.items()},
+            "leases": {
+                target_id: round(lease.until - now, 3) for target_id, lease in self._leases.items()
+            },
             "queued_changes": len(self.queue),
         }
 
 
-def _ended(known: TargetRecord, state: int, vm_id: str) -> TargetRecord:
-    """Return the next record of a target that ended; it needs no replicas."""
+def _ended_record(known: TargetRecord, state: int, vm_id: str) -> TargetRecord:
+    """Return the next record of a target that leaves or expires, without its replicas."""
     record = TargetRecord()
     record.CopyFrom(known)
     record.ClearField("replicas")
@@ -374,8 +379,8 @@
 
 def _validate(record: TargetRecord) -> None:
     problems = [
-        text
-        for wrong, text in (
+        message
+        for is_invalid, message in (
             (not record.target_id, "target_id is empty"),
             (not record.service, "service is empty"),
             (not record.host or not 0 < record.port < 65536, "host or port is missing"),
@@ -386,7 +391,7 @@
             ),
             (record.ByteSize() > MAX_RECORD_BYTES, f"record exceeds {MAX_RECORD_BYTES} bytes"),
         )
-        if wrong
+        if is_invalid
     ]
     if problems:
         raise InvalidRequest("; ".join(problems), outcome=Outcome.NOT_RUN)
--- a/bramleycrank/membership/target_table.py
+++ b/bramleycrank/membership/target_table.py
@@ -1,4 +1,4 @@
-"""Records of targets: order, usability by the state of the home VM, retention of ended ones."""
+"""Records of targets: order, usability by the state of the home VM, retention after their end."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.define
 class _Entry:
-    """A record with what this VM knows about it."""
+    """A record with its order key, end and usability on this VM."""
 
     record: TargetRecord
     key: Key
@@ -35,8 +35,8 @@
 
 
 @attrs.define
-class _Home:
-    """What this VM knows of a home VM."""
+class _HomeState:
+    """Whether a home VM is live, whether it was ever live here, and since when that holds."""
 
     live: bool
     known: bool
@@ -44,18 +44,18 @@
 
 
 class TargetTable:
-    """The targets that this VM knows.
+    """Stores the targets that this VM knows.
 
-    A record is usable while it says SERVING and its home VM is live, or went away less than
-    `home_grace_s` ago. Records whose home VM is unknown or gone are neither usable nor
-    advertised, so they cannot travel between VMs after their home is forgotten.
+    A record is usable while its state is SERVING and its home VM is live or stopped being live less
+    than `home_grace_s` ago. Records whose home VM is unknown or gone are neither usable nor
+    advertised, so VMs do not exchange them any more after the home VM was removed.
 
     Parameters
     ----------
     cfg : MembershipConfig
         Options.
     vm_id : str
-        This VM.
+        Id of this VM.
     """
 
     def __init__(self, cfg: MembershipConfig, vm_id: str) -> None:
@@ -65,7 +65,7 @@
         self._by_service: dict[str, set[str]] = defaultdict(set)
         self._by_home: dict[str, set[str]] = defaultdict(set)
         self._by_bucket: dict[int, set[str]] = defaultdict(set)
-        self._homes: dict[str, _Home] = {vm_id: _Home(live=True, known=True, since=0.0)}
+        self._homes: dict[str, _HomeState] = {vm_id: _HomeState(live=True, known=True, since=0.0)}
         self._gone_homes: set[str] = set()
         self._ended: dict[str, None] = {}
 
@@ -80,26 +80,28 @@
         return entry.key if entry else None
 
     def is_usable(self, target_id: str) -> bool:
-        """Return whether new work may go to the target."""
+        """Return whether a target may get new sub-requests."""
         entry = self._entries.get(target_id)
         return entry is not None and entry.usable
 
     def usable(self, service: str) -> list[TargetRecord]:
         """Return the usable targets of a service."""
         ids = self._by_service.get(service, ())
-        return [self._entries[i].record for i in ids if self._entries[i].usable]
+        return [
+            self._entries[target_id].record for target_id in ids if self._entries[target_id].usable
+        ]
 
     def records(self) -> list[TargetRecord]:
         """Return all records."""
         return [entry.record for entry in self._entries.values()]
 
     def put(self, record: TargetRecord, now: float) -> bool:
-        """Take a record if it is newer; return whether the table changed.
+        """Store a record if it is newer; return whether the table changed.
 
         Parameters
         ----------
         record : TargetRecord
-            The record; `ended_age_s` says how long ago it ended.
+            The record; `ended_age_s` is the time since it ended.
         now : float
             Current time in seconds.
         """
@@ -113,8 +115,8 @@
             if ended and key == entry.key:
                 entry.ended_at = min(entry.ended_at, now - age_s)
             return False
-        self._drop(record.target_id)
-        # A part of a received message would keep the whole message in memory.
+        self._remove(record.target_id)
+        # The copy is needed because a submessage would keep the whole received message in memory.
         self._insert(with_age(record, 0), key, now - age_s if ended else None, now)
         return True
 
@@ -124,12 +126,12 @@
         self._by_home[record.home_vm].add(record.target_id)
         self._by_bucket[bucket_of(f"target/{record.target_id}")].add(record.target_id)
         if record.home_vm not in self._homes:
-            self._set_home(record.home_vm, _Home(live=False, known=False, since=now))
+            self._set_home(record.home_vm, _HomeState(live=False, known=False, since=now))
         if ended_at is not None:
             self._ended[record.target_id] = None
         entry.usable = self._is_usable(entry, now)
 
-    def _drop(self, target_id: str) -> None:
+    def _remove(self, target_id: str) -> None:
         entry = self._entries.pop(target_id, None)
         if entry is None:
             return
@@ -144,35 +146,35 @@
                 del index[name]
 
     def _is_usable(self, entry: _Entry, now: float) -> bool:
-        return entry.record.state == TARGET_STATE_SERVING and self._home_ok(
+        return entry.record.state == TARGET_STATE_SERVING and self._is_home_usable(
             entry.record.home_vm, now
         )
 
-    def _home_ok(self, vm_id: str, now: float) -> bool:
+    def _is_home_usable(self, vm_id: str, now: float) -> bool:
         home = self._homes.get(vm_id)
         if home is None or not home.known:
             return False
         return home.live or now - home.since < self._cfg.home_grace_s
 
     def set_home(self, vm_id: str, live: bool, now: float) -> list[TargetRecord]:
-        """Note the state of a home VM; return the records whose usability changed."""
+        """Set the state of a home VM; return the records whose usability changed."""
         if vm_id == self._vm_id:
             return []
         home = self._homes.get(vm_id)
         if home is None or not home.known or home.live != live:
-            # A VM that is first heard of as gone has no grace time left to give.
+            # A VM that was never live on this VM gives its targets no grace time.
             known = live or (home is not None and home.known)
-            self._set_home(vm_id, _Home(live=live, known=known, since=now))
-        return self._refresh(vm_id, now)
+            self._set_home(vm_id, _HomeState(live=live, known=known, since=now))
+        return self._update_usability(vm_id, now)
 
-    def _set_home(self, vm_id: str, home: _Home) -> None:
+    def _set_home(self, vm_id: str, home: _HomeState) -> None:
         self._homes[vm_id] = home
         if home.live:
             self._gone_homes.discard(vm_id)
         else:
             self._gone_homes.add(vm_id)
 
-    def _refresh(self, vm_id: str, now: float) -> list[TargetRecord]:
+    def _update_usability(self, vm_id: str, now: float) -> list[TargetRecord]:
         changed = []
         for target_id in self._by_home.get(vm_id, ()):
             entry = self._entries[target_id]
@@ -183,25 +185,25 @@
         return changed
 
     def tick(self, now: float) -> list[TargetRecord]:
-        """Apply grace times and retentions; return the records whose usability changed."""
+        """Apply grace and retention times; return the records whose usability changed."""
         changed = []
         for vm_id in list(self._gone_homes):
             gone_for_s = now - self._homes[vm_id].since
             if gone_for_s >= self._cfg.home_grace_s:
-                changed += self._refresh(vm_id, now)
+                changed += self._update_usability(vm_id, now)
             if gone_for_s >= self._cfg.record_retention_s:
-                self._forget_home(vm_id)
-        self._forget_ended(now)
+                self._remove_home(vm_id)
+        self._remove_ended(now)
         return changed
 
-    def _forget_home(self, vm_id: str) -> None:
+    def _remove_home(self, vm_id: str) -> None:
         for target_id in list(self._by_home.get(vm_id, ())):
             if self._entries[target_id].ended_at is None:
-                self._drop(target_id)
+                self._remove(target_id)
         del self._homes[vm_id]
         self._gone_homes.discard(vm_id)
 
-    def _forget_ended(self, now: float) -> None:
+    def _remove_ended(self, now: float) -> None:
         overdue = [
             target_id
             for target_id in self._ended
@@ -210,10 +212,12 @@
         ]
         excess = len(self._ended) - len(overdue) - self._cfg.max_ended_targets
         if excess > 0:
-            rest = set(self._ended).difference(overdue)
-            overdue += sorted(rest, key=lambda i: self._entries[i].ended_at)[:excess]
+            remaining = set(self._ended).difference(overdue)
+            overdue += sorted(remaining, key=lambda ended_id: self._entries[ended_id].ended_at)[
+                :excess
+            ]
         for target_id in overdue:
-            self._drop(target_id)
+            self._remove(target_id)
 
     def _retention_s(self, record: TargetRecord) -> float:
         if record.state == TARGET_STATE_LEAVING:
@@ -221,9 +225,10 @@
         return self._cfg.expired_retention_s
 
     def outgoing(self, target_id: str, now: float) -> TargetRecord | None:
-        """Return the record as it is sent, with the age of an ended target rounded up.
+        """Return the record as it is sent to other VMs, with the age of an ended target rounded up.
 
-        Rounding down would let a record lose age with every hop and never be forgotten.
+        With rounding down a record would lose age with each VM that passes it on, and might never
+        be removed.
         """
         entry = self._entries.get(target_id)
         if entry is None:
@@ -244,22 +249,24 @@
         buckets : iterable of int, optional
             Digest buckets; all by default.
         held : bool, optional
-            Whether to yield also the records that are kept but not advertised.
+            Whether to include the records that are kept but not advertised.
         """
         ids: Iterable[str] = self._entries
         if buckets is not None:
-            ids = (i for bucket in buckets for i in self._by_bucket.get(bucket, ()))
-        ok: dict[str, bool] = {}
+            ids = (
+                indexed_id for bucket in buckets for indexed_id in self._by_bucket.get(bucket, ())
+            )
+        usable_homes: dict[str, bool] = {}
         for target_id in ids:
             entry = self._entries[target_id]
             home = entry.record.home_vm
-            if home not in ok:
-                ok[home] = self._home_ok(home, now)
-            if held or entry.ended_at is not None or ok[home]:
+            if home not in usable_homes:
+                usable_homes[home] = self._is_home_usable(home, now)
+            if held or entry.ended_at is not None or usable_homes[home]:
                 yield f"target/{target_id}", entry.record.state, entry.key
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return each record with the reason of its usability."""
+        """Return the state of each record with the reasons for its usability."""
         return {
             target_id: {
                 "service": entry.record.service,
@@ -267,7 +274,7 @@
                 "incarnation": entry.record.incarnation,
                 "sequence": entry.record.sequence,
                 "home_vm": entry.record.home_vm,
-                "home_ok": self._home_ok(entry.record.home_vm, now),
+                "home_ok": self._is_home_usable(entry.record.home_vm, now),
                 "usable": entry.usable,
                 "ended_for_s": None if entry.ended_at is None else round(now - entry.ended_at, 3),
             }
--- a/bramleycrank/membership/types.py
+++ b/bramleycrank/membership/types.py
@@ -1,4 +1,4 @@
-"""Options and actions of the membership cores."""
+"""Options and actions of `VmMembership` and `TargetRegistry`."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
     probe_period_s : float
         Time between two direct probes.
     probe_timeout_s : float
-        Limit for one direct or indirect probe.
+        Timeout of one direct or indirect probe.
     indirect_probes : int
-        VMs that are asked to probe a member that did not answer.
+        Number of VMs that are asked to probe a member that did not reply.
     suspicion_periods : float
-        Probe periods from suspicion to death in a group of up to 10 VMs; grows with the logarithm
-        of the group.
+        Probe periods from state SUSPECT to DEAD in a group of up to 10 VMs; multiplied by the
+        decimal logarithm of the size of a larger group.
     sync_period_s : float
         Time between two anti-entropy exchanges.
     sync_timeout_s : float
-        Limit for one round of an exchange.
+        Timeout of one round of an exchange.
     record_retention_s : float
-        How long dead and left VMs are kept.
+        Time for which the records of dead and left VMs are kept.
     budget_retention_s : float
-        How long dead and left VMs still count for connection budgets.
+        Time for which dead and left VMs still count for connection budgets.
     join_timeout_s : float
-        How long a starting VM waits for a first exchange with a seed.
+        Time that a starting VM waits for the first exchange with a seed.
     lease_s, renew_s : float
         Lease of a target and the time between two renewals.
     home_grace_s : float
-        How long the targets of a dead or left home VM stay usable.
+        Time for which the targets of a dead or left home VM stay usable.
     leaving_retention_s : float
-        How long a LEAVING record is kept. It must outlast every delayed renewal and every cut after
-        which a VM could still present an older record as usable.
+        Time for which a LEAVING record is kept. It must be longer than any delay of a renewal and
+        any partition after which a VM could still advertise an older record as usable.
     expired_retention_s : float
-        How long an EXPIRED record is kept.
+        Time for which an EXPIRED record is kept.
     max_message_bytes : int
-        Bound for the records in one message.
+        Limit for the size of the records in one message.
     max_ended_targets : int
-        Bound for LEAVING and EXPIRED records in memory; the oldest are dropped first.
+        Limit for the number of LEAVING and EXPIRED records; the oldest are dropped first.
     push_retries : int
-        How often a failed push is repeated.
+        Maximum number of retries of a failed push.
     push_retry_s : float
-        Time between a failed push and its repetition.
+        Time between a failed push and its retry.
     """
 
     probe_period_s: float = 1.0
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class SendProbe:
-    """Send a probe; answer with `on_probe_reply` or `on_probe_failed`."""
+    """Action: send a probe, then call `on_probe_reply` or `on_probe_failed`."""
 
     probe_id: int
     address: str
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class RelayProbe:
-    """Probe a VM on behalf of another one; answer with `on_relay_reply` if it succeeds."""
+    """Action: probe a VM on behalf of another one, then call `on_relay_reply` if it replied."""
 
     purpose: ClassVar[str] = "probes"
 
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class SendSync:
-    """Send one round of an exchange; answer with `on_sync_reply` or `on_sync_failed`."""
+    """Action: send one round of an exchange, then call `on_sync_reply` or `on_sync_failed`."""
 
     purpose: ClassVar[str] = "exchanges"
 
@@ -109,30 +109,30 @@
 
 @attrs.frozen
 class VmChanged:
-    """The record of a VM changed."""
+    """Action: the record of a VM changed."""
 
     record: peer_pb2.VmRecord
 
 
 @attrs.frozen
 class TargetChanged:
-    """The record of a target or its usability changed."""
+    """Action: the record of a target or its usability changed."""
 
     record: target_pb2.TargetRecord
 
 
 @attrs.frozen
 class PushRecords:
-    """Send records at once; `VmMembership.push` turns the action into probes.
+    """Action: send records immediately; `VmMembership.push` returns the messages for it.
 
     Parameters
     ----------
     records : tuple of TargetRecord
         Records to send.
     fanout : int
-        Number of random VMs to send to; 0 for as many as it takes to reach all.
+        Number of random VMs to send to; 0 for as many as are needed to reach all VMs.
     near_only : bool
-        Whether only VMs of the own failure domain are told.
+        Whether to send only to VMs of the own failure domain.
     """
 
     records: tuple[target_pb2.TargetRecord, ...]
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -1,4 +1,4 @@
-"""What a VM knows of the group: composing and merging gossip, refuting claims about itself."""
+"""The records of one VM: composing and merging gossip, refuting wrong states of the VM itself."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class GroupView:
-    """VM table, target registry and the queue of changes that both share.
+    """Combines the VM table, the target registry and the gossip queue that both share.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     local : VmRecord
         Record of this VM.
     registry : TargetRegistry
-        Registry of this VM.
+        Target registry of this VM.
     """
 
     def __init__(self, cfg: MembershipConfig, local: VmRecord, registry: TargetRegistry) -> None:
@@ -35,7 +35,7 @@
         self.vms = VmTable(cfg, local)
         self.registry = registry
         self.queue = registry.queue
-        self.refuted = False  # set by each refutation, reset by the reader
+        self.refuted = False  # set by each refutation; VmMembership resets it
         self._enqueue(local)
 
     @property
@@ -44,40 +44,42 @@
         return self.vms.local.state == VM_STATE_LEFT
 
     def gossip(self, now: float, peer_id: str | None = None) -> Gossip:
-        """Return a message with this VM's record and the changes to spread.
+        """Return a message with this VM's record and queued changes.
 
         Parameters
         ----------
         now : float
             Current time in seconds.
         peer_id : str, optional
-            The receiver. If it is held for suspect, dead or left, the message says so, and it can
-            refute at once.
+            The receiver. If its state is not ALIVE here, the message includes its record, so that
+            it can refute the state at once.
         """
         message = Gossip(sender=self.vms.local)
         peer = self.vms.get(peer_id) if peer_id else None
         if peer is not None and peer.state != VM_STATE_ALIVE:
             message.vms.append(peer)
-        far = peer is not None and peer.domain != self.vms.local.domain
-        ids = self.queue.take(self.vms.ring(), self.cfg.max_message_bytes, far=far)
-        self.add_records(message, ids, now)
+        is_remote = peer is not None and peer.domain != self.vms.local.domain
+        record_ids = self.queue.take(
+            self.vms.ring(), self.cfg.max_message_bytes, is_remote=is_remote
+        )
+        self.add_records(message, record_ids, now)
         return message
 
-    def add_records(self, message: Gossip, ids: Iterable[str], now: float) -> list[str]:
-        """Append records by id up to the message bound; return the ids that did not fit."""
+    def add_records(self, message: Gossip, record_ids: Iterable[str], now: float) -> list[str]:
+        """Append records by id up to the size limit of a message; return the ids left out."""
         left = self.cfg.max_message_bytes
-        waiting = []
-        for record_id in ids:
+        omitted = []
+        for record_id in record_ids:
             record = self.record(record_id, now)
             if record is None:
                 continue
             size = record.ByteSize()
             if size > left and left < self.cfg.max_message_bytes:
-                waiting.append(record_id)
+                omitted.append(record_id)
                 continue
             left -= size
             (message.vms if isinstance(record, VmRecord) else message.targets).append(record)
-        return waiting
+        return omitted
 
     def record(self, record_id: str, now: float) -> VmRecord | TargetRecord | None:
         """Return a record by its id (``vm/ID`` or ``target/ID``), or None."""
@@ -87,9 +89,9 @@
         return self.registry.outgoing(name, now)
 
     def merge(self, message: Gossip, now: float, *, spread: bool = True) -> list[Action]:
-        """Take all newer records of a message.
+        """Store the records of a message that are newer.
 
-        VM records go first, since the usability of a target depends on its home VM.
+        VM records are merged first, since the usability of a target depends on its home VM.
 
         Parameters
         ----------
@@ -98,7 +100,7 @@
         now : float
             Current time in seconds.
         spread : bool, optional
-            Whether the records are news for others too; what a joining VM is told is not.
+            Whether to gossip the records; other VMs already have those that a joining VM receives.
         """
         actions: list[Action] = []
         if message.HasField("sender"):
@@ -110,7 +112,7 @@
         return [*actions, *self.registry.merge(message.targets, now, spread=spread)]
 
     def merge_vm(self, record: VmRecord, now: float, *, spread: bool = True) -> list[Action]:
-        """Take the record of a VM if it is newer; refute it if it is about this VM."""
+        """Store the record of a VM if it is newer; refute it if it describes this VM."""
         if record.vm_id == self.vms.local_id:
             return self._refute(record, now)
         if not record.vm_id or not self.vms.merge(record, now):
@@ -119,21 +121,22 @@
             self._enqueue(record)
         return [VmChanged(record), *self.registry.on_vm(record, now)]
 
-    def _refute(self, claim: VmRecord, now: float) -> list[Action]:
-        """Answer a claim that is newer than the own record with a higher incarnation.
+    def _refute(self, received: VmRecord, now: float) -> list[Action]:
+        """Override a received record of this VM that is newer than the own one.
 
-        Claims arise from suspicion, or from an earlier process of this VM.
+        Such a record comes from a suspicion or from an earlier process of this VM. The own record
+        gets a higher incarnation.
         """
         local = self.vms.local
-        if self.left or claim.incarnation < local.incarnation or claim == local:
+        if self.left or received.incarnation < local.incarnation or received == local:
             return []
-        if claim.incarnation == local.incarnation and claim.state < local.state:
+        if received.incarnation == local.incarnation and received.state < local.state:
             return []
         self.refuted = True
-        return self.set_local(local.state, claim.incarnation + 1, now)
+        return self.set_local(local.state, received.incarnation + 1, now)
 
     def set_local(self, state: int, incarnation: int, now: float) -> list[Action]:
-        """Change the own record and start to spread it."""
+        """Change the record of this VM and queue it for gossip."""
         record = self.vms.with_state(self.vms.local_id, state)
         record.incarnation = incarnation
         self.vms.merge(record, now)
@@ -141,7 +144,7 @@
         return [VmChanged(record)]
 
     def forget_gone(self, now: float) -> None:
-        """Drop dead and left VMs after their retention."""
+        """Remove dead and left VMs after their retention time."""
         for vm_id in self.vms.forget_gone(now):
             self.queue.discard(f"vm/{vm_id}")
 
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -22,12 +22,13 @@
     VmRecord,
 )
 
-# Addresses of VMs that were dead for longer than the retention; a healed cut is found through them.
+# Number of remembered addresses of VMs that were dead for longer than the retention time. They are
+# probed to detect that a partition healed.
 MAX_FORMER_ADDRESSES = 256
 
 
 class VmTable:
-    """The VMs that this VM knows, itself included.
+    """Stores the VMs that this VM knows, including itself.
 
     Parameters
     ----------
@@ -44,11 +45,11 @@
         self._keys: dict[str, Key] = {local.vm_id: vm_key(local)}
         self._gone_at: dict[str, float] = {}
         self._suspect_until: dict[str, float] = {}
-        self._former: dict[str, str] = {}
-        # These are read for each message; they are built again after a change only.
+        self._former_addresses: dict[str, str] = {}
+        # Cached because they are read for each message; rebuilt after a change.
         self._live: list[VmRecord] | None = None
         self._ring: Ring | None = None
-        self._domains: dict[str, str] = {}  # by the addresses of live VMs
+        self._domains: dict[str, str] = {}  # address of a live VM to its domain
 
     @property
     def local(self) -> VmRecord:
@@ -68,7 +69,7 @@
         return list(self._records.values())
 
     def live(self) -> list[VmRecord]:
-        """Return the records that are alive, draining or suspect, this VM's included."""
+        """Return the records that are alive, draining or suspect, including this VM's."""
         if self._live is None:
             self._live = [rec for rec in self._records.values() if rec.state in LIVE_STATES]
             self._domains = {address_of(rec): rec.domain for rec in self._live}
@@ -79,7 +80,7 @@
         return [rec for rec in self.live() if rec.vm_id != self.local_id]
 
     def ring(self) -> Ring:
-        """Return the VMs that this one probes and exchanges with."""
+        """Return the VMs that this VM probes and exchanges records with."""
         if self._ring is None:
             self._ring = Ring.from_peers(self.local, self.peers())
         return self._ring
@@ -90,24 +91,24 @@
         return self._domains.get(address, "")
 
     def budget_count(self, now: float, domain: str | None = None) -> int:
-        """Return how many VMs share the connections and budgets of targets."""
+        """Return the number of VMs that share the connection budgets of targets."""
         return sum(
             1
             for rec in self._records.values()
-            if (domain is None or rec.domain == domain) and self._counts(rec, now)
+            if (domain is None or rec.domain == domain) and self._counts_for_budget(rec, now)
         )
 
-    def _counts(self, rec: VmRecord, now: float) -> bool:
+    def _counts_for_budget(self, rec: VmRecord, now: float) -> bool:
         if rec.control_only:
             return False
         gone_at = self._gone_at.get(rec.vm_id)
         return gone_at is None or now - gone_at < self._cfg.budget_retention_s
 
     def merge(self, record: VmRecord, now: float) -> bool:
-        """Take a record if it is newer; return whether the table changed.
+        """Store a record if it is newer; return whether the table changed.
 
-        A dead or left record of an unknown VM is not taken: there is nothing to end, and VMs that
-        forget at different times would hand it to each other forever.
+        A dead or left record of an unknown VM is ignored: it has no effect, and VMs that remove it
+        at different times would send it to each other forever.
         """
         key = vm_key(record)
         known = self._keys.get(record.vm_id)
@@ -115,30 +116,30 @@
             return False
         if known is not None and key <= known:
             return False
-        # A part of a received message would keep the whole message in memory.
+        # The copy is needed because a submessage would keep the whole received message in memory.
         copy = VmRecord()
         copy.CopyFrom(record)
         self._records[record.vm_id] = copy
         self._keys[record.vm_id] = key
         self._live = self._ring = None
-        self._track(copy, now)
+        self._update_deadlines(copy, now)
         return True
 
-    def _track(self, record: VmRecord, now: float) -> None:
+    def _update_deadlines(self, record: VmRecord, now: float) -> None:
         vm_id = record.vm_id
         if record.state in GONE_STATES:
             self._gone_at.setdefault(vm_id, now)
         else:
             self._gone_at.pop(vm_id, None)
-            self._former.pop(address_of(record), None)
+            self._former_addresses.pop(address_of(record), None)
         if record.state == VM_STATE_SUSPECT:
             self._suspect_until[vm_id] = now + self._suspicion_s()
         else:
             self._suspect_until.pop(vm_id, None)
 
     def _suspicion_s(self) -> float:
-        growth = max(1.0, math.log10(max(1, len(self._records))))
-        return self._cfg.suspicion_periods * growth * self._cfg.probe_period_s
+        group_factor = max(1.0, math.log10(max(1, len(self._records))))
+        return self._cfg.suspicion_periods * group_factor * self._cfg.probe_period_s
 
     def with_state(self, vm_id: str, state: int) -> VmRecord:
         """Return a copy of a record with another state."""
@@ -148,44 +149,52 @@
         return copy
 
     def overdue_suspects(self, now: float) -> list[VmRecord]:
-        """Return dead records for the suspects that did not refute in time."""
+        """Return DEAD records for the suspects that did not refute the suspicion in time."""
         overdue = [vm_id for vm_id, until in self._suspect_until.items() if until <= now]
         return [self.with_state(vm_id, VM_STATE_DEAD) for vm_id in overdue]
 
     def postpone(self, delay_s: float) -> None:
-        """Move all suspicion deadlines, after this process itself was paused."""
+        """Extend all suspicion deadlines by the time for which this process was paused."""
         for vm_id in self._suspect_until:
             self._suspect_until[vm_id] += delay_s
 
     def forget_gone(self, now: float) -> list[str]:
-        """Drop dead and left records after their retention and return their ids."""
+        """Remove dead and left records after their retention time and return their ids."""
         limit = now - self._cfg.record_retention_s
         dropped = [vm_id for vm_id, since in self._gone_at.items() if since <= limit]
         for vm_id in dropped:
             record = self._records.pop(vm_id)
             del self._keys[vm_id], self._gone_at[vm_id]
             if record.state != VM_STATE_LEFT:
-                self._former[address_of(record)] = vm_id
-        while len(self._former) > MAX_FORMER_ADDRESSES:
-            del self._former[next(iter(self._former))]
+                self._former_addresses[address_of(record)] = vm_id
+        while len(self._former_addresses) > MAX_FORMER_ADDRESSES:
+            del self._former_addresses[next(iter(self._former_addresses))]
         return dropped
 
     def unreachable(self, seeds: tuple[str, ...]) -> dict[str, str]:
-        """Return addresses where a VM may come back, with the id of a dead VM or an empty string.
+        """Return the addresses of unreachable VMs, with the id of a dead VM or an empty string.
 
-        These are the addresses of dead and former VMs, and seeds that no live VM has.
+        These are the addresses of dead and removed VMs and of seeds, unless a live VM has them.
         """
         self.live()
         gone = (self._records[vm_id] for vm_id in self._gone_at)
-        found = dict.fromkeys([*self._former, *seeds], "")
-        found.update({address_of(r): r.vm_id for r in gone if r.state == VM_STATE_DEAD})
-        return {a: vm_id for a, vm_id in found.items() if a not in self._domains}
+        addresses = dict.fromkeys([*self._former_addresses, *seeds], "")
+        addresses.update(
+            {
+                address_of(gone_record): gone_record.vm_id
+                for gone_record in gone
+                if gone_record.state == VM_STATE_DEAD
+            }
+        )
+        return {
+            address: vm_id for address, vm_id in addresses.items() if address not in self._domains
+        }
 
     def entries(self, now: float, *, held: bool = False) -> Iterator[tuple[str, int, Key]]:
         """Yield id, state and key of the records that take part in anti-entropy.
 
-        Dead and left records take part for half of their retention only, so that a VM still knows
-        them when the last VM stops to advertise them; `held` yields the others too.
+        Dead and left records take part for half of their retention time only, so that all VMs still
+        have them when the last VM stops advertising them. `held` includes the others.
         """
         limit = now - self._cfg.record_retention_s / 2
         for vm_id, record in self._records.items():
@@ -193,7 +202,7 @@
                 yield f"vm/{vm_id}", record.state, self._keys[vm_id]
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return each record with the reason of its state."""
+        """Return the state of each record with its deadlines."""
         return {
             vm_id: {
                 "state": state_name(record),
--- a/bramleycrank/state/claims.py
+++ b/bramleycrank/state/claims.py
@@ -1,4 +1,4 @@
-"""Claims of non-idempotent requests: at most one attempt wins an id, and it is never replaced."""
+"""Claims of non-idempotent requests: at most one attempt of a request is executed."""
 
 from __future__ import annotations
 
@@ -22,39 +22,39 @@
 )
 from bramleycrank.state.validation import claim_problem
 
-# Claims are grouped by the minute of their issue, so that a move of the floor touches only what
-# it drops; scanning 200,000 claims would hold up the loop.
+# Claims are grouped by the minute of their issue, so that raising the floor visits only the claims
+# that it drops; scanning 200,000 claims would block the event loop.
 _BUCKET_MS = 60_000
 
-# The floor is moved only by whole steps of this size, so that it costs one log entry a minute.
+# The floor is raised by at least this much, which limits it to one log entry a minute.
 _FLOOR_STEP_MS = 60_000
 
-# Attempts of one claim that are known to have given up. Only a command that is delayed past this
-# many further attempts of the same request could win late, and then it holds a claim unused.
-_REMEMBERED_ATTEMPTS = 8
+# Abandoned attempts remembered for each claim. A delayed ClaimOpen of an abandoned attempt that is
+# not remembered could still win the claim, which would then stay unused.
+_MAX_ABANDONED_ATTEMPTS = 8
 
-# Share of a full table that is kept when claims must be dropped for memory.
+# Share of a limit that is kept when claims are dropped to free memory.
 _KEPT_SHARE = 0.9
 
 
 class ClaimTable:
-    """Claims whose ``issued_at_ms`` is not below the floor."""
+    """Stores the claims whose ``issued_at_ms`` is not below the floor."""
 
     def __init__(self) -> None:
         self.floor_ms = 0
         self.answer_bytes = 0
-        # Serialized ids and claims: as message objects 200,000 claims took 375 MiB, and their
-        # image 0.5 s of the loop.
+        # Ids and claims are kept serialized: as message objects, 200,000 claims took 375 MiB, and
+        # building their image blocked the event loop for 0.5 s.
         self._claims: dict[bytes, bytes] = {}
         self._buckets: dict[int, list[bytes]] = {}
 
     @classmethod
     def from_claims(cls, claims: Iterable[Claim], floor_ms: int) -> ClaimTable:
-        """Build the table from an image."""
+        """Build the table from the claims and the floor of an image."""
         table = cls()
         table.floor_ms = floor_ms
         for claim in claims:
-            table._add(claim.id)
+            table._add_to_bucket(claim.id)
             table._store(claim)
             table.answer_bytes += len(claim.answer)
         return table
@@ -63,42 +63,44 @@
         return len(self._claims)
 
     def serialized(self) -> Iterable[bytes]:
-        """Return all claims, serialized, in the order in which they were made."""
+        """Return all claims, serialized, in the order of their creation."""
         return self._claims.values()
 
     def find(self, claim_id: ClaimId) -> Claim | None:
-        """Return a copy of the claim of an id."""
+        """Return a copy of the claim with the given id, or None."""
         data = self._claims.get(_key(claim_id))
         return Claim.FromString(data) if data is not None else None
 
     def open(self, command: ClaimOpen) -> CommandResult:
-        """Give the claim to the attempt if no other attempt holds it."""
+        """Assign the claim to the attempt if no other attempt holds it."""
         if problem := claim_problem(command.id, command.attempt_id, command.vm_id):
             return _result(ResultCode.RESULT_CODE_INVALID, problem)
         if command.id.issued_at_ms < self.floor_ms:
-            return _expired()
+            return _expired_result()
         claim = self.find(command.id)
         if claim is None:
-            claim = self._add(command.id)
+            claim = self._add_to_bucket(command.id)
         elif not claim.abandoned or command.attempt_id in claim.abandoned_attempts:
-            return _standing(claim, command.attempt_id)
+            return _existing_claim_result(claim, command.attempt_id)
         claim.attempt_id, claim.vm_id, claim.abandoned = command.attempt_id, command.vm_id, False
         self._store(claim)
         return _result(ResultCode.RESULT_CODE_CLAIM_WON)
 
     def complete(self, command: ClaimComplete) -> CommandResult:
-        """Store the answer of the attempt that holds the claim; the first answer stays."""
+        """Store the answer of the attempt that holds the claim; only the first answer is kept."""
         if problem := claim_problem(command.id, command.attempt_id):
             return _result(ResultCode.RESULT_CODE_INVALID, problem)
         claim = self.find(command.id)
         if claim is None:
-            below = command.id.issued_at_ms < self.floor_ms
-            return _expired() if below else _result(ResultCode.RESULT_CODE_NOT_FOUND)
+            is_below_floor = command.id.issued_at_ms < self.floor_ms
+            return (
+                _expired_result() if is_below_floor else _result(ResultCode.RESULT_CODE_NOT_FOUND)
+            )
         if claim.attempt_id != command.attempt_id:
             return _result(ResultCode.RESULT_CODE_CLAIM_HELD)
         if not claim.completed:
-            # A completion after an abandonment says that the attempt ran after all, so the claim
-            # must not be given away again.
+            # A completion after an abandonment means that the attempt was executed, so no other
+            # attempt may get the claim.
             claim.completed, claim.abandoned = True, False
             if len(command.answer) <= MAX_ANSWER_BYTES:
                 claim.answer = command.answer
@@ -107,92 +109,93 @@
         return _result(ResultCode.RESULT_CODE_OK)
 
     def abandon(self, command: ClaimAbandon) -> CommandResult:
-        """Record that the attempt gave up, and give the claim free if the attempt holds it.
+        """Record that the attempt was abandoned, and release the claim if the attempt holds it.
 
-        An abandonment that comes before its claim counts too, so that the claim does not win when
-        it arrives late and nobody is left to run it.
+        An abandonment that is applied before the ``ClaimOpen`` of its attempt is recorded too:
+        a late ``ClaimOpen`` would otherwise win the claim for an attempt that no VM executes.
         """
         if problem := claim_problem(command.id, command.attempt_id):
             return _result(ResultCode.RESULT_CODE_INVALID, problem)
         if command.id.issued_at_ms < self.floor_ms:
-            return _expired()
+            return _expired_result()
         claim = self.find(command.id)
         if claim is None:
-            claim = self._add(command.id)
+            claim = self._add_to_bucket(command.id)
             claim.abandoned = True
         if command.attempt_id not in claim.abandoned_attempts:
             claim.abandoned_attempts.append(command.attempt_id)
-            del claim.abandoned_attempts[:-_REMEMBERED_ATTEMPTS]
-        holds = claim.attempt_id == command.attempt_id
-        free = not claim.completed and (holds or claim.abandoned)
-        claim.abandoned = free
+            del claim.abandoned_attempts[:-_MAX_ABANDONED_ATTEMPTS]
+        is_holder = claim.attempt_id == command.attempt_id
+        is_free = not claim.completed and (is_holder or claim.abandoned)
+        claim.abandoned = is_free
         self._store(claim)
-        if not free:
-            return _standing(claim, command.attempt_id)
+        if not is_free:
+            return _existing_claim_result(claim, command.attempt_id)
         return _result(ResultCode.RESULT_CODE_OK)
 
     def raise_floor(self, floor_ms: int) -> None:
-        """Move the floor up and drop the claims below it; a lower floor changes nothing."""
+        """Raise the floor and drop the claims below it; a lower floor changes nothing."""
         if floor_ms <= self.floor_ms:
             return
         self.floor_ms = floor_ms
-        last = floor_ms // _BUCKET_MS
-        for number in [number for number in self._buckets if number <= last]:
-            kept = []
-            for key in self._buckets.pop(number):
-                if number == last and _issued(key) >= floor_ms:
-                    kept.append(key)
+        last_bucket = floor_ms // _BUCKET_MS
+        for bucket in [bucket for bucket in self._buckets if bucket <= last_bucket]:
+            kept_keys = []
+            for key in self._buckets.pop(bucket):
+                if bucket == last_bucket and _issued_at_ms(key) >= floor_ms:
+                    kept_keys.append(key)
                 else:
-                    self.answer_bytes -= self._answer_length(key)
+                    self.answer_bytes -= self._answer_size_bytes(key)
                     del self._claims[key]
-            if kept:
-                self._buckets[number] = kept
+            if kept_keys:
+                self._buckets[bucket] = kept_keys
 
     def wanted_floor(self, now_ms: int) -> int | None:
-        """Return the floor that retention and memory ask for; ``None`` if it should stay.
+        """Return the floor that retention and memory limits require; ``None`` if unchanged.
 
-        The floor also stays one retention time behind the newest claim: a leader whose clock is
-        far ahead would otherwise expire all requests of the VMs whose clocks are right.
+        Retention never raises the floor to less than one retention time before the newest claim: a
+        leader whose clock is far ahead would otherwise expire all requests of VMs with correct
+        clocks.
         """
         if not self._claims:
             return None
-        newest = max(self._buckets) * _BUCKET_MS
-        for_memory = self._memory_floor()
-        if for_memory > self.floor_ms:
-            return for_memory
-        floor = min(now_ms, newest) - CLAIM_RETENTION_MS
-        step = floor - max(self.floor_ms, min(self._buckets) * _BUCKET_MS)
-        return floor if step >= _FLOOR_STEP_MS else None
-
-    def _memory_floor(self) -> int:
-        """Return the floor that brings count and answers back below their bounds; 0 if they are."""
-        excess = bytes_excess = 0
+        newest_ms = max(self._buckets) * _BUCKET_MS
+        memory_floor_ms = self._memory_floor_ms()
+        if memory_floor_ms > self.floor_ms:
+            return memory_floor_ms
+        floor = min(now_ms, newest_ms) - CLAIM_RETENTION_MS
+        raise_ms = floor - max(self.floor_ms, min(self._buckets) * _BUCKET_MS)
+        return floor if raise_ms >= _FLOOR_STEP_MS else None
+
+    def _memory_floor_ms(self) -> int:
+        """Return the floor that brings count and answer size below their limits; 0 if they are."""
+        excess_claims = excess_bytes = 0
         if len(self._claims) > MAX_CLAIMS:
-            excess = len(self._claims) - int(MAX_CLAIMS * _KEPT_SHARE)
+            excess_claims = len(self._claims) - int(MAX_CLAIMS * _KEPT_SHARE)
         if self.answer_bytes > MAX_STORED_ANSWER_BYTES:
-            bytes_excess = self.answer_bytes - int(MAX_STORED_ANSWER_BYTES * _KEPT_SHARE)
+            excess_bytes = self.answer_bytes - int(MAX_STORED_ANSWER_BYTES * _KEPT_SHARE)
         floor = 0
         for key in self._oldest_first():
-            if excess <= 0 and bytes_excess <= 0:
+            if excess_claims <= 0 and excess_bytes <= 0:
                 break
-            excess -= 1
-            bytes_excess -= self._answer_length(key)
-            floor = _issued(key) + 1
+            excess_claims -= 1
+            excess_bytes -= self._answer_size_bytes(key)
+            floor = _issued_at_ms(key) + 1
         return floor
 
     def _oldest_first(self) -> Iterable[bytes]:
-        numbers = list(self._buckets)
-        heapq.heapify(numbers)
-        while numbers:
-            yield from sorted(self._buckets[heapq.heappop(numbers)], key=_issued)
+        buckets = list(self._buckets)
+        heapq.heapify(buckets)
+        while buckets:
+            yield from sorted(self._buckets[heapq.heappop(buckets)], key=_issued_at_ms)
 
-    def _answer_length(self, key: bytes) -> int:
+    def _answer_size_bytes(self, key: bytes) -> int:
         return len(Claim.FromString(self._claims[key]).answer)
 
-    def _add(self, claim_id: ClaimId) -> Claim:
-        """Return a new claim, which the caller stores."""
-        number = claim_id.issued_at_ms // _BUCKET_MS
-        self._buckets.setdefault(number, []).append(_key(claim_id))
+    def _add_to_bucket(self, claim_id: ClaimId) -> Claim:
+        """Index a new claim by its time of issue and return it; the caller stores it."""
+        bucket = claim_id.issued_at_ms // _BUCKET_MS
+        self._buckets.setdefault(bucket, []).append(_key(claim_id))
         return Claim(id=claim_id)
 
     def _store(self, claim: Claim) -> None:
@@ -200,7 +203,7 @@
 
 
 def _key(claim_id: ClaimId) -> bytes:
-    # A copy without the fields of later versions, which do not belong to the identity.
+    # The copy leaves out fields of later versions, which are not part of the identity.
     known = ClaimId(
         service=claim_id.service,
         request_key=claim_id.request_key,
@@ -209,12 +212,12 @@
     return known.SerializeToString(deterministic=True)
 
 
-def _issued(key: bytes) -> int:
+def _issued_at_ms(key: bytes) -> int:
     return ClaimId.FromString(key).issued_at_ms
 
 
-def _standing(claim: Claim, attempt_id: str) -> CommandResult:
-    """Return what an attempt is told about a claim that stands."""
+def _existing_claim_result(claim: Claim, attempt_id: str) -> CommandResult:
+    """Return the result for an attempt that cannot change an existing claim."""
     if claim.completed:
         message = "" if claim.answer else "the answer was not stored"
         code = ResultCode.RESULT_CODE_CLAIM_ANSWERED
@@ -224,7 +227,7 @@
     return _result(ResultCode.RESULT_CODE_CLAIM_HELD)
 
 
-def _expired() -> CommandResult:
+def _expired_result() -> CommandResult:
     return _result(ResultCode.RESULT_CODE_KEY_EXPIRED, "the request key is below the floor")
 
 
--- a/bramleycrank/state/config_state.py
+++ b/bramleycrank/state/config_state.py
@@ -1,4 +1,4 @@
-"""The configuration: services and VM records with compare-and-set by version."""
+"""The configuration: services, VMs and the route table, with compare-and-set by version."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class ConfigState:
-    """Configuration objects, the revision and the newest deltas.
+    """Holds the configuration objects, the revision and the newest deltas.
 
-    The objects are replaced, never changed in place, so readers may keep them.
+    Objects are replaced and never changed in place, so readers may keep references to them.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,8 @@
         Returns
         -------
         list of ConfigDelta or None
-            Empty for this revision and higher ones; ``None`` if the ring does not reach back.
+            Empty if ``revision`` is the current or a higher one; ``None`` if the deltas after it
+            are no longer stored.
         """
         missing = self.revision - revision
         if missing <= 0:
@@ -76,37 +77,43 @@
         """Apply a change if it is valid and the object has the expected version."""
         if problem := change_problem(change):
             return self._result(ResultCode.RESULT_CODE_INVALID, 0, problem)
-        body = change.WhichOneof("body")
-        if body == "put_routes":
+        body_kind = change.WhichOneof("body")
+        if body_kind == "put_routes":
             return self._put_routes(change)
-        version = self._version(change)
-        if body == "delete_service" and not version:
+        version = self._object_version(change)
+        if body_kind == "delete_service" and not version:
             return self._result(ResultCode.RESULT_CODE_NOT_FOUND, 0, "there is no such service")
         if version != change.expected_version:
             message = f"the object has version {version}, not {change.expected_version}"
             return self._result(ResultCode.RESULT_CODE_VERSION_CONFLICT, version, message)
-        if not version and self._is_full(body):
+        if not version and self._is_full(body_kind):
             return self._result(ResultCode.RESULT_CODE_INVALID, 0, "there are too many objects")
         self.apply_delta(ConfigDelta(revision=self.revision + 1, change=change))
         return self._result(ResultCode.RESULT_CODE_OK, self.revision)
 
     def _put_routes(self, change: Change) -> CommandResult:
-        """Apply a route table if its version is higher than the one held.
+        """Apply a route table if its version is higher than the current one.
 
-        An older version was overtaken and changes nothing, which is no error: the operator's resend
-        of a change that was accepted long ago is accepted again. Other content under the version
-        held is refused, so that one version never stands for two tables.
+        An older version changes nothing and is not an error, so that an operator can resend a
+        change that was accepted earlier. Other content under the current version is a conflict, so
+        that a version identifies one table.
         """
-        held, offered = self.routes, change.put_routes
-        if offered.version == held.version and not same_content(offered, held):
-            message = f"version {held.version} is held with other content"
-            return self._result(ResultCode.RESULT_CODE_VERSION_CONFLICT, held.version, message)
-        if offered.version > held.version:
+        current, offered = self.routes, change.put_routes
+        if offered.version == current.version and not same_content(offered, current):
+            message = f"version {current.version} is held with other content"
+            return self._result(ResultCode.RESULT_CODE_VERSION_CONFLICT, current.version, message)
+        if offered.version > current.version:
             self.apply_delta(ConfigDelta(revision=self.revision + 1, change=change))
         return self._result(ResultCode.RESULT_CODE_OK, self.routes.version)
 
     def apply_delta(self, delta: ConfigDelta) -> None:
-        """Apply an accepted change; raises ``ValueError`` unless it is the next revision."""
+        """Apply an accepted change.
+
+        Raises
+        ------
+        ValueError
+            If the delta is not the one after the current revision.
+        """
         if delta.revision != self.revision + 1:
             raise ValueError(f"delta {delta.revision} does not follow {self.revision}")
         change = delta.change
@@ -125,23 +132,23 @@
                 self.vms[vm.vm_id] = vm
             case "put_routes":
                 self.routes = change.put_routes
-                # A follower that is behind takes the image, which holds only the newest table.
+                # Followers that are behind get the image, which has only the newest route table.
                 self._deltas.clear()
         self.revision = delta.revision
         self._deltas.append(delta)
 
     def advance(self, deltas: Iterable[ConfigDelta], image: ConfigImage | None) -> bool:
-        """Move up to a higher revision.
+        """Advance to a higher revision.
 
-        Deltas that are already applied are skipped, and those behind a gap are not used. An image
-        replaces everything if its revision is higher than what the deltas reach.
+        Deltas that are already applied are skipped, and those after a gap are ignored. An image
+        replaces all objects if its revision is higher than the one that the deltas lead to.
 
         Returns
         -------
         bool
-            Whether the revision grew.
+            Whether the revision increased.
         """
-        before = self.revision
+        old_revision = self.revision
         for delta in sorted(deltas, key=lambda delta: delta.revision):
             if delta.revision == self.revision + 1:
                 self.apply_delta(delta)
@@ -150,10 +157,10 @@
             self.revision, self.services, self.vms = newer.revision, newer.services, newer.vms
             self.routes = newer.routes
             self._deltas.clear()
-        return self.revision > before
+        return self.revision > old_revision
 
-    def _version(self, change: Change) -> int:
-        """Return the version of the object that the change is about; 0 if it does not exist."""
+    def _object_version(self, change: Change) -> int:
+        """Return the version of the object that the change refers to; 0 if it does not exist."""
         match change.WhichOneof("body"):
             case "put_service":
                 found = self.services.get(change.put_service.name)
@@ -163,8 +170,8 @@
                 found = self.vms.get(change.put_vm.vm_id)
         return found.version if found is not None else 0
 
-    def _is_full(self, body: str) -> bool:
-        if body == "put_service":
+    def _is_full(self, body_kind: str) -> bool:
+        if body_kind == "put_service":
             return len(self.services) >= MAX_SERVICES
         return len(self.vms) >= MAX_VMS
 
--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration of one VM up to date."""
+"""The configuration follower, which keeps the configuration of one VM up to date."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from bramleycrank.proto.log_pb2 import ConfigImage
 from bramleycrank.proto.peer_pb2 import ConfigStatus, FetchConfigReply
 from bramleycrank.state.config_state import ConfigState
-from bramleycrank.state.confirmation import CLOCK_ALLOWANCE, MAX_AGE_MS, Confirmation
+from bramleycrank.state.confirmation import CLOCK_DRIFT_SHARE, MAX_AGE_MS, Confirmation
 from bramleycrank.state.peer_hints import PeerHints
 from bramleycrank.state.types import ConfigInForce, FetchConfig, FollowerAction, FollowerConfig
 
-# A catch-up and a question to the leader may be open at once.
+# One fetch from a peer and one from the leader may be open at once.
 _MAX_FETCHES = 2
 
-# Shares of the lease after which a fresher peer, one behind a border and then the leader are
-# asked. Most VMs learn from peers, so the leader is asked only by those that gossip does not reach
-# in time.
+# Shares of the lease after which a VM without a newer confirmation asks a peer of its own domain,
+# a peer of another domain, and then the leader. Gossip brings most VMs a confirmation in time, so
+# only a few ask the leader.
 _ASK_PEER_SHARE = 0.25
-_ASK_FAR_SHARE = 0.5
+_ASK_REMOTE_SHARE = 0.5
 _ASK_LEADER_SHARE = 0.6
 
 
-# Longest time that a VM waits for a peer of its own domain to have a revision that is known in
-# another one. The times are drawn, so in a domain of many VMs one of them fetches it at once.
+# Upper bound of the random time that a VM waits for a peer of its own domain to have a revision
+# before it fetches the revision from another domain. In a domain of many VMs one of them draws a
+# time near 0 and fetches at once.
 FAR_WAIT_S = 0.5
 
 
@@ -37,16 +38,30 @@
 
 
 class ConfigFollower:
-    """Follows the configuration through peers; its revision never goes down while it runs.
+    """Fetches the configuration from peers; its revision never decreases while the process runs.
 
     Before ``is_ready`` the configuration is only a candidate: a starting VM waits for a
-    confirmation that is younger than its start. Anything that it had in force before a restart was
-    committed earlier, so its revision cannot go down across the restart either. If no such
-    confirmation comes within ``start_wait_s``, the highest revision that could be had is taken.
-
-    Load pattern: a large table changes, and hundreds of VMs in a few failure domains need it. All
-    of them at once would send it across the borders as many times; here a few fetch it from another
-    domain, and the others from those.
+    confirmation that is newer than its start. The configuration in force before a restart was
+    committed earlier, so the revision does not decrease across a restart either. If no such
+    confirmation arrives within ``start_wait_s``, the highest revision received so far comes into
+    force.
+
+    Load pattern: a large route table changes, and hundreds of VMs in a few failure domains need it.
+    If all of them fetched it from other domains, it would cross the domain boundaries once for each
+    VM. Instead a few VMs fetch it from another domain, and the others from VMs of their own domain.
+
+    Parameters
+    ----------
+    cfg : FollowerConfig
+        Settings.
+    cached : ConfigImage or None
+        Image from the data folder.
+    rng : random.Random
+        Source of jitter and of the choice of peers.
+    now : float
+        Current time in seconds.
+    is_far : callable, optional
+        Returns whether a peer is in another failure domain.
     """
 
     def __init__(
@@ -61,16 +76,16 @@
         self._cfg = cfg
         self._rng = rng
         self._started_at = now
-        self._last_event = now
+        self._last_event_at = now
         self._ready = False
         self._has_candidate = cached is not None
         self._in_force_revision = -1
-        self._known: Confirmation | None = None
+        self._confirmation: Confirmation | None = None
         self._covered_at: float | None = None
         self._hints = PeerHints(is_far)
-        self._far_at: float | None = None  # when a newer revision may be fetched across a border
+        self._remote_fetch_at: float | None = None  # earliest fetch from another domain
         self._fetches: dict[str, _Fetch] = {}
-        self._ask_leader_at = self._ask_any_at = now
+        self._ask_leader_at = self._ask_any_peer_at = now
 
     @classmethod
     def from_config(
@@ -99,16 +114,16 @@
         peer_address : str
             ``host:port`` of the peer.
         status : ConfigStatus
-            What the peer knows.
+            Revision in force on the peer and its newest confirmation.
         now : float
             Time of receipt in seconds.
         sent_at : float, optional
-            Time at which this VM sent the request that the status answers. Without it the time in
-            flight is unknown: the status then only shows which peer is worth asking.
+            Time at which this VM sent the request that the status answers. Without it the network
+            delay is unknown, and the status only serves to choose peers to ask.
         """
         self._hints.on_status(peer_address, status, now)
         if sent_at is not None:
-            self._learn(Confirmation.from_reply(status, sent_at))
+            self._add_confirmation(Confirmation.from_reply(status, sent_at))
         return self._next_actions(now)
 
     def on_fetched(
@@ -123,11 +138,12 @@
         if not advanced:
             self._hints.postpone(peer_address, now + self._cfg.retry_s)
         if fetch is not None:
-            self._learn(Confirmation.from_reply(reply.status, fetch.sent_at))
+            self._add_confirmation(Confirmation.from_reply(reply.status, fetch.sent_at))
             if fetch.leader_confirmed and reply.status.confirmed:
-                # The leader was confirmed after it got the request, whatever age it reports.
+                # The quorum confirmed the leader after it received the request, so the time of
+                # sending is a bound, whatever age the leader reports.
                 revision = max(reply.status.revision, reply.status.leader_revision)
-                self._learn(Confirmation(revision, fetch.sent_at))
+                self._add_confirmation(Confirmation(revision, fetch.sent_at))
         return self._next_actions(now)
 
     def on_fetch_failed(self, peer_address: str, now: float) -> list[FollowerAction]:
@@ -144,22 +160,23 @@
         confirmed_at: float | None = None,
         leader: tuple[str, int] | None = None,
     ) -> list[FollowerAction]:
-        """Handle a voter's own state.
+        """Handle the replicated state of this VM, which is a voter.
 
         Parameters
         ----------
         config : ConfigState
-            The configuration of the VM's replicated state. A lower revision than the own one,
-            as after a restart from an old snapshot, changes nothing.
+            The configuration in the replicated state. A revision lower than the follower's, as
+            after a restart from an old snapshot, changes nothing.
         confirmed : bool
-            Whether this VM leads and a quorum confirmed it.
+            Whether this VM is the leader and a quorum confirmed that.
         now : float
             Time in seconds.
         confirmed_at : float, optional
-            ``RaftNode.confirmed_at``. ``confirmed`` has no effect without it: the end of a round
-            would understate the age, since another leader may have committed meanwhile.
+            ``RaftNode.confirmed_at``. ``confirmed`` has no effect without it: counting from the
+            end of a quorum round would understate the age, since another leader may have committed
+            since the round began.
         leader : tuple of str and int, optional
-            Host and port of the leader that the own consensus node follows.
+            Host and port of the leader that the consensus node of this VM follows.
         """
         if config.revision > self.config.revision:
             deltas = config.deltas_since(self.config.revision)
@@ -168,33 +185,35 @@
         if leader is not None:
             self._hints.set_leader(*leader, now)
         if confirmed and confirmed_at is not None:
-            self._learn(Confirmation(config.revision, confirmed_at))
+            self._add_confirmation(Confirmation(config.revision, confirmed_at))
         return self._next_actions(now)
 
     def tick(self, now: float) -> list[FollowerAction]:
-        """Take what there is when the start took too long, and ask again where it is due."""
+        """Apply the start timeout and start the fetches that are due."""
         return self._next_actions(now)
 
     def next_deadline(self) -> float:
-        """Return the time of the next needed tick, in seconds."""
-        due = self._last_event + self._cfg.retry_s / 2
-        waits = self._far_at is not None and self._far_at > self._last_event
-        return min(due, self._far_at) if waits else due
+        """Return the time at which the next ``tick`` is needed, in seconds."""
+        due = self._last_event_at + self._cfg.retry_s / 2
+        is_waiting = (
+            self._remote_fetch_at is not None and self._remote_fetch_at > self._last_event_at
+        )
+        return min(due, self._remote_fetch_at) if is_waiting else due
 
     def status(self, now: float) -> ConfigStatus:
-        """Return what this VM knows, for its peers."""
+        """Return the status of this VM for its peers."""
         status = ConfigStatus(revision=self.config.revision if self._ready else 0)
         host, _, port = self._hints.leader_address.rpartition(":")
         if port:
             status.leader_host, status.leader_port = host, int(port)
-        if self._known is not None:
-            status.leader_revision = self._known.revision
-            status.leader_age_ms = self._known.age_ms(now)
+        if self._confirmation is not None:
+            status.leader_revision = self._confirmation.revision
+            status.leader_age_ms = self._confirmation.age_ms(now)
             status.confirmed = status.leader_age_ms < MAX_AGE_MS
         return status
 
     def fetch_reply(self, from_revision: int, now: float) -> FetchConfigReply:
-        """Return the answer to a peer's ``FetchConfig``; without objects while not ready."""
+        """Return the reply to a peer's ``FetchConfig``; it has no objects while not ready."""
         reply = FetchConfigReply(status=self.status(now))
         if self._ready:
             deltas = self.config.deltas_since(from_revision)
@@ -205,47 +224,49 @@
         return reply
 
     def stale_s(self, now: float) -> float:
-        """Return an upper bound of the time since the configuration was the newest.
+        """Return an upper bound in seconds of the time since the configuration was the newest.
 
-        It is ``MAX_AGE_MS`` if no confirmation of the own revision is known.
+        It is ``MAX_AGE_MS`` in seconds if no confirmation covers the revision.
         """
         if self._covered_at is None:
             return MAX_AGE_MS / 1000
-        age = max(0.0, now - self._covered_at) * (1 + CLOCK_ALLOWANCE)
-        return min(age, MAX_AGE_MS / 1000)
+        stale_for_s = max(0.0, now - self._covered_at) * (1 + CLOCK_DRIFT_SHARE)
+        return min(stale_for_s, MAX_AGE_MS / 1000)
 
     def is_current(self, now: float) -> bool:
-        """Return whether a leader's confirmation of this revision is within the lease."""
+        """Return whether a leader confirmed the revision in force within the lease."""
         return self._ready and self.stale_s(now) <= self._cfg.lease_s
 
     def dump(self) -> dict[str, object]:
-        """Return the follower's knowledge for operators."""
+        """Return the state of the follower for operators."""
         return {
             "ready": self._ready,
             "revision": self.config.revision,
             "covered_at": self._covered_at,
-            "known": attrs.asdict(self._known) if self._known else None,
+            "known": attrs.asdict(self._confirmation) if self._confirmation else None,
             "leader_address": self._hints.leader_address,
             "highest_revision": self._hints.highest_revision,
             "fetches": {address: attrs.asdict(item) for address, item in self._fetches.items()},
         }
 
-    def _learn(self, confirmation: Confirmation | None) -> None:
+    def _add_confirmation(self, confirmation: Confirmation | None) -> None:
         if confirmation is None:
             return
-        self._cover(confirmation)
-        self._known = confirmation.merged(self._known)
+        self._update_covered_at(confirmation)
+        self._confirmation = confirmation.merged(self._confirmation)
 
-    def _cover(self, confirmation: Confirmation) -> None:
-        """Count a confirmation for the own configuration if that is at least as new."""
+    def _update_covered_at(self, confirmation: Confirmation) -> None:
+        """Advance ``covered_at`` if the configuration is at least as new as the confirmation."""
         if confirmation.revision <= self.config.revision:
-            older = self._covered_at
-            self._covered_at = confirmation.at if older is None else max(older, confirmation.at)
+            previous_at = self._covered_at
+            self._covered_at = (
+                confirmation.at if previous_at is None else max(previous_at, confirmation.at)
+            )
 
     def _next_actions(self, now: float) -> list[FollowerAction]:
-        self._last_event = now
-        if self._known is not None:
-            self._cover(self._known)
+        self._last_event_at = now
+        if self._confirmation is not None:
+            self._update_covered_at(self._confirmation)
         return [*self._put_in_force(now), *self._fetch(now)]
 
     def _put_in_force(self, now: float) -> list[FollowerAction]:
@@ -262,7 +283,7 @@
         return [*self._fetch_from_leader(now), *self._fetch_from_peer(now)]
 
     def _fetch_from_leader(self, now: float) -> list[FollowerAction]:
-        """Ask the leader while starting, and when gossip leaves this VM without confirmation."""
+        """Fetch from the leader while starting, and when peers cannot bring this VM up to date."""
         late = self.stale_s(now) > self._cfg.lease_s * _ASK_LEADER_SHARE
         behind = self._hints.highest_revision > self.config.revision and not self._hints.any_ahead(
             self.config.revision
@@ -271,38 +292,40 @@
             return []
         actions = self._start_fetch(self._hints.leader_address, True, now)
         if actions:
-            # The jitter spreads the questions of many VMs that lost the same leader.
+            # The jitter spreads the fetches of many VMs that lost the same leader.
             self._ask_leader_at = now + self._cfg.retry_s * self._rng.uniform(1, 2)
         return actions
 
     def _fetch_from_peer(self, now: float) -> list[FollowerAction]:
-        """Catch up from a peer that is ahead, or learn a newer confirmation from a fresher one."""
+        """Fetch from a peer with a higher revision, or else from one with a newer confirmation."""
         ahead = self._hints.ahead(self.config.revision, now)
         if ahead:
             address = self._rng.choice(ahead)
-            return self._start_fetch(address, False, now) if self._may_ask(address, now) else []
-        self._far_at = None
-        stale = self.stale_s(now)
-        lease = self._cfg.lease_s
-        if stale <= lease * _ASK_PEER_SHARE:
+            return (
+                self._start_fetch(address, False, now) if self._may_fetch_from(address, now) else []
+            )
+        self._remote_fetch_at = None
+        age_s = self.stale_s(now)
+        lease_s = self._cfg.lease_s
+        if age_s <= lease_s * _ASK_PEER_SHARE:
             return []
-        # A small gain is not worth a call.
-        address = self._hints.fresher(now - stale + lease / 12, now)
-        if address and self._hints.is_far(address) and stale <= lease * _ASK_FAR_SHARE:
+        # A confirmation that is newer by less than a twelfth of the lease does not justify a call.
+        address = self._hints.fresher(now - age_s + lease_s / 12, now)
+        if address and self._hints.is_far(address) and age_s <= lease_s * _ASK_REMOTE_SHARE:
             return []
-        if not address and stale > lease * _ASK_LEADER_SHARE and now >= self._ask_any_at:
-            # What the peers last said is old, but they may have heard more since.
+        if not address and age_s > lease_s * _ASK_LEADER_SHARE and now >= self._ask_any_peer_at:
+            # The last status of every peer is too old, but some may have newer ones by now.
             address = self._rng.choice(self._hints.askable(now) or [""])
-            self._ask_any_at = now + self._cfg.retry_s
+            self._ask_any_peer_at = now + self._cfg.retry_s
         return self._start_fetch(address, False, now)
 
-    def _may_ask(self, address: str, now: float) -> bool:
-        """Return whether a peer that is ahead is near, or the wait for a near one is over."""
+    def _may_fetch_from(self, address: str, now: float) -> bool:
+        """Return whether a peer is in the own domain or the wait for such a peer is over."""
         if not self._ready or not self._hints.is_far(address):
             return True
-        if self._far_at is None:
-            self._far_at = now + self._rng.uniform(0, FAR_WAIT_S)
-        return now >= self._far_at
+        if self._remote_fetch_at is None:
+            self._remote_fetch_at = now + self._rng.uniform(0, FAR_WAIT_S)
+        return now >= self._remote_fetch_at
 
     def _start_fetch(
         self, address: str, leader_confirmed: bool, now: float
--- a/bramleycrank/state/peer_hints.py
+++ b/bramleycrank/state/peer_hints.py
@@ -1,4 +1,4 @@
-"""What other VMs said about themselves, as a choice of peers to fetch from."""
+"""Last known status of other VMs, used to choose the peers to fetch from."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from bramleycrank.proto.peer_pb2 import ConfigStatus
 
-# Enough to find a fresh peer; a VM at the design size hears thousands.
+# Enough to find an up-to-date peer; a VM at the design size receives the status of thousands.
 _MAX_PEERS = 64
 
 
 @attrs.define
 class PeerHint:
-    """Last status of a peer; only a hint, since its time in flight is unknown.
+    """Last status of a peer; only a hint, since its network delay is unknown.
 
     Parameters
     ----------
     revision : int
         Revision in force on the peer.
     confirmed_at : float
-        Own time of the peer's newest confirmation, if the status took no time to arrive.
+        Local time of the peer's newest confirmation, assuming a network delay of 0; in seconds.
     not_before : float
-        Time before which the peer is not asked again.
+        Local time in seconds before which the peer is not asked again.
     """
 
     revision: int = 0
@@ -33,7 +33,7 @@
 
 
 class PeerHints:
-    """The peers that were heard last, and the leader's address.
+    """Stores the peers that sent a status last, and the leader's address.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         self._peers: OrderedDict[str, PeerHint] = OrderedDict()
 
     def on_status(self, address: str, status: ConfigStatus, now: float) -> None:
-        """Record a status."""
+        """Record the status of a peer."""
         hint = self._peers.pop(address, None) or PeerHint()
         self._peers[address] = hint
         if len(self._peers) > _MAX_PEERS:
@@ -63,12 +63,12 @@
             self._leader_confirmed_at = hint.confirmed_at
 
     def set_leader(self, host: str, port: int, now: float) -> None:
-        """Record the leader that the own consensus node follows."""
+        """Record the leader that the consensus node of this VM follows."""
         self.leader_address = f"{host}:{port}"
         self._leader_confirmed_at = now
 
     def forget(self, address: str) -> None:
-        """Drop a peer that cannot be reached."""
+        """Remove an unreachable peer."""
         self._peers.pop(address, None)
 
     def postpone(self, address: str, until: float) -> None:
@@ -77,8 +77,8 @@
             self._peers[address].not_before = until
 
     def ahead(self, revision: int, now: float) -> list[str]:
-        """Return the peers to ask that have a higher revision; near ones only if there are any."""
-        return self._nearest(
+        """Return the available peers with a higher revision, of the own domain if there are any."""
+        return self._prefer_own_domain(
             address
             for address, hint in self._peers.items()
             if hint.revision > revision and hint.not_before <= now
@@ -92,22 +92,22 @@
         """Return whether a known peer has a higher revision."""
         return any(hint.revision > revision for hint in self._peers.values())
 
-    def fresher(self, than: float, now: float) -> str:
-        """Return the peer to ask with the newest confirmation after ``than``; empty if none.
+    def fresher(self, since: float, now: float) -> str:
+        """Return the available peer with the newest confirmation after ``since``; empty if none.
 
-        A near peer is preferred to a fresher one in another failure domain.
+        A peer of the own domain is preferred to a more recent one in another failure domain.
         """
-        found = self._nearest(
+        candidates = self._prefer_own_domain(
             address
             for address, hint in self._peers.items()
-            if hint.confirmed_at > than and hint.not_before <= now
+            if hint.confirmed_at > since and hint.not_before <= now
         )
-        return max(found, key=lambda address: self._peers[address].confirmed_at, default="")
+        return max(candidates, key=lambda address: self._peers[address].confirmed_at, default="")
 
     def is_far(self, address: str) -> bool:
         """Return whether a peer is in another failure domain."""
         return self._is_far(address)
 
-    def _nearest(self, addresses: Iterable[str]) -> list[str]:
-        found = list(addresses)
-        return [address for address in found if not self._is_far(address)] or found
+    def _prefer_own_domain(self, addresses: Iterable[str]) -> list[str]:
+        candidates = list(addresses)
+        return [address for address in candidates if not self._is_far(address)] or candidates
--- a/bramleycrank/state/replicated.py
+++ b/bramleycrank/state/replicated.py
@@ -25,10 +25,10 @@
 
 
 class ReplicatedState:
-    """Configuration and claims.
+    """State machine that holds the configuration and the claims.
 
-    Nothing here depends on clocks, random numbers or the order of sets, so equal logs give equal
-    states and equal images on every node.
+    It depends on no clocks, random numbers or set order, so equal logs give equal states and equal
+    images on every node.
     """
 
     def __init__(self) -> None:
@@ -57,8 +57,9 @@
             ],
             claims_floor_ms=self.claims.floor_ms,
         ).SerializeToString(deterministic=True)
-        # Serialized parts of a message may be joined; the claims are already serialized.
-        return b"".join((rest, *map(_claim_field, self.claims.serialized())))
+        # Protobuf allows joining the serialized parts of a message. The claims are stored
+        # serialized already.
+        return b"".join((rest, *map(_encode_claim_field, self.claims.serialized())))
 
     def apply(self, entry: Entry) -> CommandResult:
         """Apply a committed entry.
@@ -66,8 +67,8 @@
         Returns
         -------
         CommandResult
-            What the proposer is told. An entry without a command changes nothing and is OK. A
-            command that cannot be read is INVALID on every node.
+            Result for the proposer. An entry without a command changes nothing and is OK. A
+            command that cannot be parsed is INVALID on every node.
         """
         if entry.WhichOneof("body") != "command":
             return self._with_revision(CommandResult(code=ResultCode.RESULT_CODE_OK))
@@ -77,16 +78,16 @@
             command = Command()
         if command.WhichOneof("body") == "change":
             return self._apply_change(command.change)
-        return self._with_revision(self._apply_other(command))
+        return self._with_revision(self._apply_claim_command(command))
 
     def floor_proposal(self, now_ms: int) -> Command | None:
-        """Return the command that moves the claims floor, if it should move.
+        """Return the command that raises the claims floor, or ``None`` if it is high enough.
 
         Parameters
         ----------
         now_ms : int
-            Unix time of the leader in milliseconds. The floor protects against repeated runs
-            whatever the clock says; a wrong clock only changes how long answers are kept.
+            Unix time of the leader in milliseconds. The floor prevents repeated execution even if
+            this clock is wrong; the clock only affects how long answers are kept.
         """
         floor_ms = self.claims.wanted_floor(now_ms)
         if floor_ms is None:
@@ -94,7 +95,7 @@
         return Command(claim_floor=ClaimFloor(floor_ms=floor_ms))
 
     def dump(self) -> dict[str, object]:
-        """Return sizes and positions for operators."""
+        """Return sizes, versions and the claims floor for operators."""
         return {
             "revision": self.config.revision,
             "services": {name: item.version for name, item in self.config.services.items()},
@@ -109,7 +110,7 @@
         result.revision = self.config.revision
         return result
 
-    def _apply_other(self, command: Command) -> CommandResult:
+    def _apply_claim_command(self, command: Command) -> CommandResult:
         match command.WhichOneof("body"):
             case "claim_open":
                 return self.claims.open(command.claim_open)
@@ -123,28 +124,28 @@
         return CommandResult(code=ResultCode.RESULT_CODE_INVALID, message="unreadable command")
 
     def _apply_change(self, change: Change) -> CommandResult:
-        """Apply a change once; a resend gets the first result, whatever that was."""
+        """Apply a change once; a resend gets the first result, also if that was an error."""
         if not has_change_id(change):
             message = "the change id is missing or too long"
             result = CommandResult(code=ResultCode.RESULT_CODE_INVALID, message=message)
             return self._with_revision(result)
         if (first := self._changes.get(change.change_id)) is not None:
-            return _copy(first)
+            return _copy_result(first)
         result = self.config.apply_change(change)
-        self._changes[change.change_id] = _copy(result)
+        self._changes[change.change_id] = _copy_result(result)
         if len(self._changes) > REMEMBERED_CHANGES:
             self._changes.popitem(last=False)
         return result
 
 
-def _copy(result: CommandResult) -> CommandResult:
+def _copy_result(result: CommandResult) -> CommandResult:
     copy = CommandResult()
     copy.CopyFrom(result)
     return copy
 
 
-def _claim_field(claim: bytes) -> bytes:
-    """Return a serialized claim as an element of ``StateImage.claims``: tag, varint, bytes."""
+def _encode_claim_field(claim: bytes) -> bytes:
+    """Encode a serialized claim as an element of ``StateImage.claims``: tag, varint, bytes."""
     length, remaining = bytearray(), len(claim)
     while remaining > 0x7F:
         length.append(remaining & 0x7F | 0x80)
--- a/bramleycrank/state/types.py
+++ b/bramleycrank/state/types.py
@@ -1,4 +1,4 @@
-"""Values of the state package: settings and actions of the configuration follower, limits."""
+"""Limits of the replicated state, and settings and actions of the configuration follower."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 DELTA_RING = 1024
 REMEMBERED_CHANGES = 10_000
 MAX_ANSWER_BYTES = 4096
-# A node may use 128 MB for control, of which an idle VM takes 70 MB. A claim takes about 500 bytes
-# with an answer of 150 bytes; answers of 4 KiB would take more than all of it.
+# A VM may use 128 MB for control, and uses 70 MB when idle. A claim takes about 500 bytes with an
+# answer of 150 bytes; 60,000 answers of 4 KiB would exceed the whole 128 MB.
 MAX_CLAIMS = 60_000
 MAX_STORED_ANSWER_BYTES = 16 * 1024 * 1024
 CLAIM_RETENTION_MS = 24 * 3600 * 1000
@@ -21,9 +21,9 @@
     Parameters
     ----------
     lease_s : float
-        Longest age in seconds of a leader's confirmation with which a VM is current.
+        Maximum age in seconds of a leader's confirmation for a VM to count as current.
     start_wait_s : float
-        Time in seconds that a starting VM waits for a leader-confirmed revision.
+        Maximum time in seconds that a starting VM waits for a leader-confirmed revision.
     retry_s : float
         Time in seconds between attempts to fetch.
     """
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class FetchConfig:
-    """Call ``FetchConfig`` on the peer; exactly one callback must follow each action.
+    """Action: call ``FetchConfig`` on the peer. Exactly one callback must follow each action.
 
     The callback is ``on_fetched`` or ``on_fetch_failed`` with the same ``peer_address``.
     """
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class ConfigInForce:
-    """The follower's ``config`` is in force with this revision; write it to the data folder."""
+    """Action: the follower's ``config`` is now in force; write it to the data folder."""
 
     revision: int
 
--- a/bramleycrank/state/validation.py
+++ b/bramleycrank/state/validation.py
@@ -1,4 +1,4 @@
-"""Rules for configuration changes and claims; equal on every node and free of clocks."""
+"""Validation of configuration changes and claims; deterministic and equal on every node."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 def is_name(name: str) -> bool:
-    """Return whether a service, VM or kind may have this name."""
+    """Return whether a name is valid for a service, VM or kind."""
     return _NAME.fullmatch(name) is not None
 
 
 def change_problem(change: Change) -> str:
-    """Return what is wrong with a change; empty if nothing is."""
+    """Return the reason why a change is invalid; empty if it is valid."""
     match change.WhichOneof("body"):
         case "put_service":
-            return _service_problem(change.put_service)
+            return _first_service_problem(change.put_service)
         case "delete_service":
             return _name_problem("service", change.delete_service)
         case "put_vm":
@@ -43,12 +43,12 @@
 
 
 def has_change_id(change: Change) -> bool:
-    """Return whether the change has an id under which its result can be remembered."""
+    """Return whether the change has a valid id, under which its result is stored."""
     return 1 <= len(change.change_id) <= MAX_ID_LENGTH
 
 
 def claim_problem(claim_id: ClaimId, attempt_id: str, vm_id: str | None = None) -> str:
-    """Return what is wrong with the names in a claim command; empty if nothing is."""
+    """Return the reason why the ids of a claim command are invalid; empty if they are valid."""
     if not is_name(claim_id.service):
         return "the service name is invalid"
     if not 1 <= len(claim_id.request_key) <= MAX_KEY_LENGTH:
@@ -60,7 +60,7 @@
     return ""
 
 
-def _service_problem(service: ServiceConfig) -> str:
+def _first_service_problem(service: ServiceConfig) -> str:
     return next(filter(None, _service_problems(service)), "")
 
 
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -140,11 +140,11 @@
     for seed in range(200):
         queue = GossipQueue(f"vm-{seed}")
         queue.add("vm/x", (1, 1, 0, 0), 60)
-        assert queue.take(ring, 1000, far=False) == ["vm/x"]
+        assert queue.take(ring, 1000, is_remote=False) == ["vm/x"]
         for _ in range(HEARD_ENOUGH):
             queue.hear("vm/x")
-        assert not queue.take(ring, 1000, far=False)
-        taken[sum(bool(queue.take(ring, 1000, far=True)) for _ in range(9))] += 1
+        assert not queue.take(ring, 1000, is_remote=False)
+        taken[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
         assert not len(queue)
     assert set(taken) == {0, ring.far_domains}
     assert 0.5 * CARRIERS < taken[ring.far_domains] / 200 * 40 < 2 * CARRIERS
