--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -1,7 +1,7 @@
-"""Several membership cores on a simulated network with virtual time, and a simple oracle.
+"""Simulation of several `VmMembership` objects on a network with virtual time, with an oracle.
 
-The oracle knows which VMs and targets run and which targets have left. After faults of any kind the
-cores must agree with it within the bounds of the design.
+The oracle records which VMs and targets run and which targets have left. After faults of any kind
+all VMs must agree with it within the time limits of the design.
 """
 
 import heapq
@@ -24,8 +24,8 @@
 )
 from bramleycrank.proto import peer_pb2, target_pb2
 
-# Short retentions, so that forgetting happens within an example. A replayed announcement is never
-# older than the retention of LEAVING records.
+# Short retention times, so that records are removed within an example. A replayed report is never
+# older than the retention time of LEAVING records.
 CFG = MembershipConfig(max_message_bytes=400, leaving_retention_s=150.0, expired_retention_s=40.0)
 REPLAY_AGE_S = 100.0
 TICK_S = 0.1
@@ -33,13 +33,13 @@
 LEAVE_BOUND_S = 3.0
 SETTLE_S = 60.0
 CONNECTION_LIMIT = 30
-LARGEST_RECORD = 80
+MAX_RECORD_BYTES = 80
 SERVING, LEAVING = target_pb2.TARGET_STATE_SERVING, target_pb2.TARGET_STATE_LEAVING
 
 
 @attrs.define(eq=False)
 class Vm:
-    """One VM: its cores while it runs, and what its current process has learned."""
+    """One VM: its objects while it runs, and the leaving targets that its process knows of."""
 
     vm_id: str
     address: str
@@ -50,7 +50,7 @@
     registry: TargetRegistry | None = None
     budget: ConnectionBudget | None = None
     paused_until: float = 0.0
-    known_left: set = attrs.field(factory=set)
+    known_leaving: set = attrs.field(factory=set)
 
 
 @attrs.define(eq=False)
@@ -66,21 +66,21 @@
 
 
 def check_size(message, cfg=CFG):
-    """Check the bound for the records in a message; the peer's own record may come on top."""
+    """Check the size limit of the records in a message; the peer's record is not counted in it."""
     records = [*message.gossip.vms, *message.gossip.targets]
     size = sum(record.ByteSize() for record in records)
-    assert size <= cfg.max_message_bytes + LARGEST_RECORD
+    assert size <= cfg.max_message_bytes + MAX_RECORD_BYTES
 
 
 class Fleet:
-    """VMs and targets on a network with virtual time."""
+    """VMs and targets on a simulated network with virtual time."""
 
     def __init__(
         self, seed, vm_count=4, target_count=3, control_only=0, domains="a", cfg=CFG, seeds=SEEDS
     ):
         self.cfg, self.seed_count = cfg, seeds
-        self.far_bytes = self.near_bytes = 0
-        self.far_calls = self.near_calls = 0
+        self.remote_bytes = self.local_bytes = 0
+        self.remote_calls = self.local_calls = 0
         self.rng = Random(seed)
         self.now = 0.0
         self.events = []
@@ -89,7 +89,7 @@
         self.latency_s = 0.003
         self.cut = frozenset()
         self.calm_since = 0.0
-        self.replayable = []
+        self.sent_reports = []
         names = [f"vm-{i}" for i in range(vm_count)]
         self.vms = [
             Vm(name, f"h:{i + 1}", i + 1, i < control_only, domains[i % len(domains)])
@@ -99,14 +99,14 @@
         self.targets = [Target(f"t-{i}", home=i % vm_count) for i in range(target_count)]
         for vm in self.vms:
             self.start_vm(vm, incarnation=1)
-            self.post(self.rng.uniform(0, TICK_S), lambda vm=vm: self.tick(vm))
+            self.schedule(self.rng.uniform(0, TICK_S), lambda vm=vm: self.tick(vm))
         for target in self.targets:
             self.start_target(target)
-            self.post(self.rng.uniform(0, 2), lambda target=target: self.renew(target))
+            self.schedule(self.rng.uniform(0, 2), lambda target=target: self.renew(target))
 
     # Time and network.
 
-    def post(self, delay, function):
+    def schedule(self, delay, function):
         heapq.heappush(self.events, (self.now + delay, next(self.order), function))
 
     def run_for(self, duration):
@@ -116,16 +116,16 @@
             function()
         self.now = until
 
-    def disturbed(self):
+    def mark_disturbed(self):
         self.calm_since = max(self.calm_since, self.now)
 
     @property
     def calm(self):
-        """Whether every message arrives and every VM that is not stopped runs."""
+        """Whether no message is lost or slow and no running VM is paused."""
         quiet = not self.loss and not self.cut and self.latency_s < 0.1
         return quiet and all(vm.paused_until <= self.now for vm in self.vms)
 
-    def passes(self, source, target):
+    def is_delivered(self, source, target):
         if (source.vm_id in self.cut) != (target.vm_id in self.cut):
             return False
         return target.core is not None and self.rng.random() >= self.loss
@@ -143,34 +143,34 @@
                 done.append(True)
                 function(*args)
 
-        self.post(timeout, lambda: finish(on_fail))
+        self.schedule(timeout, lambda: finish(on_fail))
         copy = type(request).FromString(request.SerializeToString())
 
         def deliver():
             if target.paused_until > self.now:
-                self.post(target.paused_until - self.now + 0.001, deliver)
+                self.schedule(target.paused_until - self.now + 0.001, deliver)
             elif target.core is not None:
                 handle(target, copy, answer)
 
         def answer(reply):
             check_size(reply, self.cfg)
             self.count(target, source, reply, 0)
-            if self.passes(target, source):
-                again = type(reply).FromString(reply.SerializeToString())
-                self.post(self.delay(), lambda: finish(on_reply, again))
+            if self.is_delivered(target, source):
+                reply_copy = type(reply).FromString(reply.SerializeToString())
+                self.schedule(self.delay(), lambda: finish(on_reply, reply_copy))
 
-        if self.passes(source, target):
-            self.post(self.delay(), deliver)
+        if self.is_delivered(source, target):
+            self.schedule(self.delay(), deliver)
             if self.rng.random() < self.duplicates:
-                self.post(self.delay() + self.rng.uniform(0, 20), deliver)
+                self.schedule(self.delay() + self.rng.uniform(0, 20), deliver)
 
     def count(self, source, target, message, calls):
         if source.domain == target.domain:
-            self.near_bytes += message.ByteSize()
-            self.near_calls += calls
+            self.local_bytes += message.ByteSize()
+            self.local_calls += calls
         else:
-            self.far_bytes += message.ByteSize()
-            self.far_calls += calls
+            self.remote_bytes += message.ByteSize()
+            self.remote_calls += calls
 
     def delay(self):
         return self.rng.uniform(0.0005, self.latency_s)
@@ -192,20 +192,20 @@
         rng = Random(self.rng.random())
         vm.core = VmMembership.from_config(self.cfg, local, vm.registry, seeds, rng, self.now)
         vm.budget = ConnectionBudget(ConnectionConfig(), self.now)
-        vm.known_left = set()
+        vm.known_leaving = set()
 
     def tick(self, vm):
-        self.post(TICK_S, lambda: self.tick(vm))
+        self.schedule(TICK_S, lambda: self.tick(vm))
         if vm.core is None or vm.paused_until > self.now:
             return
         self.execute(vm, [*vm.core.tick(self.now), *vm.registry.tick(self.now)])
         vm.budget.on_count(vm.core.budget_count(self.now), self.now)
-        self.check_left(vm)
+        self.check_no_leaving_target_used(vm)
 
-    def check_left(self, vm):
-        """Once a VM knows that a target left, it never uses this incarnation again."""
+    def check_no_leaving_target_used(self, vm):
+        """Check that a VM does not use an incarnation that it knows to have left."""
         for record in vm.registry.usable("s", self.now):
-            assert (record.target_id, record.incarnation) not in vm.known_left
+            assert (record.target_id, record.incarnation) not in vm.known_leaving
 
     def execute(self, vm, actions):
         for action in actions:
@@ -217,8 +217,8 @@
                 case PushRecords():
                     self.execute(vm, vm.core.push(action, self.now))
                 case TargetChanged(record=record) if record.state == LEAVING:
-                    vm.known_left.add((record.target_id, record.incarnation))
-        self.check_left(vm)
+                    vm.known_leaving.add((record.target_id, record.incarnation))
+        self.check_no_leaving_target_used(vm)
 
     def probe(self, vm, action):
         core = vm.core
@@ -241,9 +241,9 @@
             return
         core = vm.core
 
-        def relayed(third):
+        def relayed(relayed_reply):
             reply.indirect_ok = True
-            self.execute(vm, core.on_relay_reply(third, self.now))
+            self.execute(vm, core.on_relay_reply(relayed_reply, self.now))
             answer(reply)
 
         relay = relays[0]
@@ -286,12 +286,12 @@
         target.running, target.left_at = True, None
 
     def renew(self, target):
-        self.post(2.0, lambda: self.renew(target))
+        self.schedule(2.0, lambda: self.renew(target))
         if target.running and target.left_at is None:
             self.announce(target, attempts=2)
 
     def announce(self, target, attempts):
-        """Announce to the home VM; on failure to the next one."""
+        """Send a report to the home VM, or after a failure to the next VM."""
         vm = self.vms[target.home]
         request = target_pb2.AnnounceRequest(
             record=target_pb2.TargetRecord(
@@ -304,26 +304,26 @@
                 port=9000,
             )
         )
-        self.replayable.append((self.now, request))
-        if vm.paused_until <= self.now and self.deliver_announcement(vm, request):
+        self.sent_reports.append((self.now, request))
+        if vm.paused_until <= self.now and self.deliver_report(vm, request):
             return
         target.home = (target.home + 1) % len(self.vms)
         if attempts > 1:
-            self.post(0.2, lambda: self.announce(target, attempts - 1))
+            self.schedule(0.2, lambda: self.announce(target, attempts - 1))
 
-    def deliver_announcement(self, vm, request):
-        """Hand an announcement to a VM; return whether it was taken."""
+    def deliver_report(self, vm, request):
+        """Deliver a report to a VM; return whether the VM replied."""
         if vm.core is None or not vm.core.joined or self.rng.random() < self.loss:
             return False
         try:
             _, actions = vm.registry.announce(request, self.now)
         except BramleycrankError:
-            return True  # too old: the real target would stop here
+            return True  # rejected as too old; a real target would stop
         self.execute(vm, actions)
         return True
 
     def leave(self, target):
-        """Leave through the first VM that answers, as a target does."""
+        """Send a leave request to the first VM that replies, as a target does."""
         request = target_pb2.LeaveRequest(
             target_id=target.target_id, incarnation=target.incarnation
         )
@@ -336,20 +336,20 @@
 
     # Oracle.
 
-    def known_to_have_left(self, target):
-        """Whether a running VM holds the record; if all that knew it died, it is lost."""
+    def leaving_record_exists(self, target):
+        """Return whether a running VM has the LEAVING record; it may be lost with stopped VMs."""
         for vm in self.running():
             record = vm.registry.get(target.target_id)
             if record is not None and record.state == LEAVING:
                 return record.incarnation == target.incarnation
         return False
 
-    def check_bounds(self):
-        """No VM that can be reached uses a target that left more than 3 s ago (G6)."""
+    def check_leave_bound(self):
+        """Check that no reachable VM uses a target that left more than 3 s ago (G6)."""
         if not self.calm:
             return
         for target in self.targets:
-            if target.left_at is None or not self.known_to_have_left(target):
+            if target.left_at is None or not self.leaving_record_exists(target):
                 continue
             if self.now - max(target.left_at, self.calm_since) <= LEAVE_BOUND_S:
                 continue
@@ -364,15 +364,15 @@
         for vm in self.vms:
             vm.paused_until = min(vm.paused_until, self.now)
         if all(vm.core is None for vm in self.vms[:SEEDS]):
-            self.start_vm(self.vms[0], incarnation=1)  # restarted VMs need a seed to meet
+            self.start_vm(self.vms[0], incarnation=1)  # restarted VMs need a running seed to join
         self.calm_since = self.now
         for _ in range(int(SETTLE_S)):
             self.run_for(1.0)
-            self.check_bounds()
+            self.check_leave_bound()
         self.check_agreement()
 
     def check_agreement(self):
-        """All VMs hold the same records, and they are true."""
+        """Check that all VMs have the same records and that these agree with the oracle."""
         running = self.running()
         names = {vm.vm_id for vm in running}
         expected = {t.target_id for t in self.targets if t.running and t.left_at is None}
@@ -392,6 +392,6 @@
             if target.left_at is None or self.now - target.left_at > REPLAY_AGE_S:
                 continue
             keys = {vm.registry.key(target.target_id) for vm in running}
-            assert len(keys) == 1 or not self.known_to_have_left(target), target
+            assert len(keys) == 1 or not self.leaving_record_exists(target), target
         shares = [min(2, vm.budget.share(CONNECTION_LIMIT, self.now)) for vm in running]
         assert sum(shares) <= CONNECTION_LIMIT
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -1,4 +1,4 @@
-"""Large groups in a few failure domains: what crosses the borders, and that all learn in time."""
+"""Large groups in a few failure domains: traffic across domain boundaries and time of spread."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 from membership_fleet import LEAVE_BOUND_S, Fleet
-from test_state_follower import World as Followers
+from test_state_follower import FollowerSimulation
 
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
 from bramleycrank.daemon.far_contact import CUT_SILENCE_S
@@ -18,11 +18,11 @@
 from bramleycrank.state.types import ConfigInForce
 
 CFG = MembershipConfig(probe_period_s=0.5, sync_period_s=4.0, push_retry_s=0.3)
-BUDGET_BYTES_PER_S = 2000
-"""The users' bound for the control traffic of a VM."""
+MAX_CONTROL_BYTES_PER_S = 2000
+"""Required limit for the control traffic of a VM."""
 
 
-def fleet_of(per_domain, domains="abc", targets=12):
+def make_fleet(per_domain, domains="abc", targets=12):
     fleet = Fleet(7, len(domains) * per_domain, targets, len(domains), domains, CFG, len(domains))
     for number, target in enumerate(fleet.targets):
         target.home = number % len(domains)
@@ -30,78 +30,81 @@
     return fleet
 
 
-def spread(fleet, vm_id="vm-20"):
-    """Change the record of a VM; return how many copies of the change crossed a border."""
+def count_cross_domain_copies(fleet, vm_id="vm-20"):
+    """Change the record of a VM; return how many copies crossed a domain boundary."""
     copies = Counter()
     count = fleet.count
 
-    def note(source, target, message, calls):
+    def record_call(source, target, message, calls):
         gossip = message.gossip
-        carried = any(rec.vm_id == vm_id and rec.incarnation > 1 for rec in gossip.vms)
-        copies[source.domain != target.domain] += carried
+        has_change = any(rec.vm_id == vm_id and rec.incarnation > 1 for rec in gossip.vms)
+        copies[source.domain != target.domain] += has_change
         count(source, target, message, calls)
 
-    fleet.count = note
+    fleet.count = record_call
     vm = next(vm for vm in fleet.vms if vm.vm_id == vm_id)
     fleet.execute(vm, vm.core.drain(fleet.now))
     fleet.run_for(8.0)
     known = {vm.core._view.vms.get(vm_id).incarnation for vm in fleet.vms}
-    assert known == {2}, "all VMs learned of the change"
+    assert known == {2}, "all VMs received the change"
     return copies[True]
 
 
-def test_copies_of_a_change_that_cross_borders_do_not_grow_with_the_vms():
-    """Load pattern: hundreds of VMs, each of which passes each change on."""
-    small, large = spread(fleet_of(10)), spread(fleet_of(24))
-    bound = 3 * 2 * CARRIERS * 3  # domains, others, carriers and room for chance
+def test_copies_of_a_change_across_domain_boundaries_do_not_grow_with_the_number_of_vms():
+    """Load pattern: hundreds of VMs, each of which forwards each change."""
+    small, large = (
+        count_cross_domain_copies(make_fleet(10)),
+        count_cross_domain_copies(make_fleet(24)),
+    )
+    bound = 3 * 2 * CARRIERS * 3  # domains, other domains, senders, factor for random variation
     assert small <= bound and large <= bound
 
 
-def test_a_calm_vm_stays_within_the_bound_for_control_traffic():
-    fleet = fleet_of(20)
-    before = fleet.far_bytes + fleet.near_bytes, fleet.far_calls + fleet.near_calls
+def test_an_idle_vm_stays_within_the_limit_for_control_traffic():
+    fleet = make_fleet(20)
+    before = fleet.remote_bytes + fleet.local_bytes, fleet.remote_calls + fleet.local_calls
     fleet.run_for(10.0)
-    size = fleet.far_bytes + fleet.near_bytes - before[0]
-    calls = fleet.far_calls + fleet.near_calls - before[1]
-    assert (size + 230 * calls) / len(fleet.vms) / 10.0 < BUDGET_BYTES_PER_S
+    traffic_bytes = fleet.remote_bytes + fleet.local_bytes - before[0]
+    calls = fleet.remote_calls + fleet.local_calls - before[1]
+    assert (traffic_bytes + 230 * calls) / len(fleet.vms) / 10.0 < MAX_CONTROL_BYTES_PER_S
 
 
-@pytest.mark.parametrize("dead", [0, 6])
-def test_a_leaving_target_is_known_in_all_domains_in_time(dead):
-    """The home VM tells a few VMs of a domain, of which some may have just died."""
-    fleet = fleet_of(16)
-    for vm in Random(3).sample([vm for vm in fleet.vms if not vm.control_only], dead):
+@pytest.mark.parametrize("failed_count", [0, 6])
+def test_a_leaving_target_is_known_in_all_domains_within_the_bound(failed_count):
+    """The home VM pushes the record to a few VMs of a domain, and some of them may have failed."""
+    fleet = make_fleet(16)
+    for vm in Random(3).sample([vm for vm in fleet.vms if not vm.control_only], failed_count):
         vm.core = None
     fleet.leave(fleet.targets[0])
     fleet.run_for(LEAVE_BOUND_S)
-    left = fleet.targets[0].target_id
-    users = [
+    target_id = fleet.targets[0].target_id
+    vms_using_target = [
         vm.vm_id
         for vm in fleet.running()
-        if left in {rec.target_id for rec in vm.registry.usable("s", fleet.now)}
+        if target_id in {rec.target_id for rec in vm.registry.usable("s", fleet.now)}
     ]
-    assert not users
+    assert not vms_using_target
 
 
-def test_every_vm_hears_of_other_domains_within_the_silence_of_a_cut():
-    fleet = fleet_of(14)
-    heard = {vm.vm_id: fleet.now for vm in fleet.vms}
+def test_every_vm_receives_messages_from_other_domains_within_the_silence_limit():
+    fleet = make_fleet(14)
+    last_received_at = {vm.vm_id: fleet.now for vm in fleet.vms}
     gaps = []
     count = fleet.count
 
-    def note(source, target, message, calls):
+    def record_call(source, target, message, calls):
         if source.domain != target.domain:
-            gaps.append(fleet.now - heard[target.vm_id])
-            heard[target.vm_id] = fleet.now
+            gaps.append(fleet.now - last_received_at[target.vm_id])
+            last_received_at[target.vm_id] = fleet.now
         count(source, target, message, calls)
 
-    fleet.count = note
+    fleet.count = record_call
     fleet.run_for(15.0)
-    assert max([*gaps, *(fleet.now - at for at in heard.values())]) < CUT_SILENCE_S
+    assert max([*gaps, *(fleet.now - at for at in last_received_at.values())]) < CUT_SILENCE_S
 
 
-def test_a_whole_domain_that_is_cut_off_is_found_dead():
-    fleet = fleet_of(12)
+def test_a_partitioned_domain_is_detected_as_dead_and_rejoins():
+    fleet = make_fleet(12)
     fleet.cut = frozenset(vm.vm_id for vm in fleet.vms if vm.domain == "a")
     fleet.run_for(20.0)
     for vm in fleet.vms:
@@ -112,31 +115,33 @@
     assert all(len(vm.core.live_vms(fleet.now)) == 36 for vm in fleet.vms)
 
 
-def records(per_domain, domains="abcde"):
+def make_records(per_domain, domains="abcde"):
     return [VmRecord(vm_id=f"{d}{n}", domain=d) for d in domains for n in range(per_domain)]
 
 
-def test_each_vm_is_the_partner_of_some_vms_of_other_domains():
-    vms = records(40)
-    probed = Counter(
+def test_each_vm_is_a_partner_of_some_vms_of_other_domains():
+    vms = make_records(40)
+    partner_counts = Counter(
         rec.vm_id
         for local in vms
         for rec in Ring.from_peers(local, [other for other in vms if other is not local]).far
     )
-    assert len(probed) == len(vms) and sum(probed.values()) == len(vms) * 4 * PARTNERS
+    assert (
+        len(partner_counts) == len(vms) and sum(partner_counts.values()) == len(vms) * 4 * PARTNERS
+    )
 
 
-def test_a_small_group_is_known_whole():
-    vms = records(PARTNERS, "abc")
+def test_in_a_small_group_a_vm_probes_all_others():
+    vms = make_records(PARTNERS, "abc")
     ring = Ring.from_peers(vms[0], vms[1:])
     assert ring.whole and len(ring.members) == len(vms) - 1
 
 
-def test_a_change_that_others_send_is_passed_on_less_but_still_carried_across():
-    """Load pattern: hundreds of VMs join at once, and each tells of all others."""
-    vms = records(40)
+def test_a_change_received_from_others_is_sent_less_but_still_to_other_domains():
+    """Load pattern: hundreds of VMs join at once, and each sends the records of all others."""
+    vms = make_records(40)
     ring = Ring.from_peers(vms[0], vms[1:])
-    taken = Counter()
+    sent_counts = Counter()
     for seed in range(200):
         queue = GossipQueue(f"vm-{seed}")
         queue.add("vm/x", (1, 1, 0, 0), 60)
@@ -144,26 +149,26 @@
         for _ in range(HEARD_ENOUGH):
             queue.hear("vm/x")
         assert not queue.take(ring, 1000, is_remote=False)
-        taken[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
+        sent_counts[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
         assert not len(queue)
-    assert set(taken) == {0, ring.far_domains}
-    assert 0.5 * CARRIERS < taken[ring.far_domains] / 200 * 40 < 2 * CARRIERS
+    assert set(sent_counts) == {0, ring.far_domains}
+    assert 0.5 * CARRIERS < sent_counts[ring.far_domains] / 200 * 40 < 2 * CARRIERS
 
 
 def test_a_sample_is_spread_over_the_domains():
-    vms = [*records(30, "abc"), *records(1, "de")]
+    vms = [*make_records(30, "abc"), *make_records(1, "de")]
     sample = spread_sample(vms[0], vms[1:], 10, Random(1))
     assert len({rec.vm_id for rec in sample}) == 10
     counts = Counter(rec.domain for rec in sample)
     assert counts["d"] == counts["e"] == 1 and min(counts[d] for d in "abc") >= 2
 
 
-class DomainFollowers(Followers):
-    """Followers in three domains, of which each tells some of its own domain what it fetched."""
+class DomainFollowers(FollowerSimulation):
+    """Followers in three domains; each sends its status to some of its domain after a fetch."""
 
     def __init__(self, size, seed):
         self.domains = {f"10.0.0.{n}:7070": n % 3 for n in range(size)}
-        self.carrying = Counter()  # fetches that brought a revision, by whether they crossed
+        self.fetch_counts = Counter()  # successful fetches, by whether they crossed a boundary
         super().__init__(size, seed)
 
     def start(self, vm):
@@ -171,31 +176,31 @@
         own = self.domains[vm.address]
         vm.follower._hints._is_far = lambda address: self.domains[address] != own
 
-    def do(self, vm, actions):
-        super().do(vm, actions)
+    def execute(self, vm, actions):
+        super().execute(vm, actions)
         if any(isinstance(action, ConfigInForce) for action in actions):
             near = [v for v in self.vms if self.domains[v.address] == self.domains[vm.address]]
             status = vm.follower.status(vm.clock(self.time))
             for other in self.rng.sample(near, RELAY_FANOUT):
-                self.later(lambda o=other: self.tell(o, vm, status))
+                self.schedule_delivery(lambda o=other: self.deliver_status(o, vm, status))
 
-    def tell(self, vm, peer, status):
-        self.do(vm, vm.follower.on_status(peer.address, status, vm.clock(self.time)))
+    def deliver_status(self, vm, peer, status):
+        self.execute(vm, vm.follower.on_status(peer.address, status, vm.clock(self.time)))
 
     def fetch(self, vm, action):
         peer = next(other for other in self.vms if other.address == action.peer_address)
         if peer.follower.config.revision > action.from_revision:
-            self.carrying[self.domains[vm.address] != self.domains[peer.address]] += 1
+            self.fetch_counts[self.domains[vm.address] != self.domains[peer.address]] += 1
         super().fetch(vm, action)
 
 
-def test_a_new_revision_crosses_the_border_a_few_times_only():
-    """Load pattern: a table changes, and dozens of VMs in each domain need it."""
-    world = DomainFollowers(60, 5)
-    world.run(10.0)
-    world.carrying.clear()
-    world.commit()
-    world.run(6.0)
-    assert {vm.in_force for vm in world.vms} == {1}
-    # Without the wait for a near peer two thirds of the fetches cross a border.
-    assert world.carrying[True] <= world.carrying[False] / 2
+def test_a_new_revision_crosses_domain_boundaries_only_a_few_times():
+    """Load pattern: the route table changes, and dozens of VMs in each domain fetch it."""
+    simulation = DomainFollowers(60, 5)
+    simulation.run(10.0)
+    simulation.fetch_counts.clear()
+    simulation.commit()
+    simulation.run(6.0)
+    assert {vm.in_force for vm in simulation.vms} == {1}
+    # Without the wait for a peer of the own domain, two thirds of the fetches cross a boundary.
+    assert simulation.fetch_counts[True] <= simulation.fetch_counts[False] / 2
--- a/tests/test_membership_bounds.py
+++ b/tests/test_membership_bounds.py
@@ -1,4 +1,4 @@
-"""Directed tests of single mechanisms of the membership cores, over many random schedules."""
+"""Tests of single mechanisms of membership, each over many random schedules."""
 
 from random import Random
 
@@ -14,17 +14,17 @@
 from bramleycrank.proto import peer_pb2, target_pb2
 
 SEEDS = st.integers(0, 2**32)
-few = settings(max_examples=8)
+few_examples = settings(max_examples=8)
 
 
 def usable_on(vm, now):
     return {record.target_id for record in vm.registry.usable("s", now)}
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_leave_reaches_all_vms_at_once(seed):
-    """Guards against a leave that waits for gossip or for an exchange."""
+def test_a_leaving_target_is_pushed_to_all_vms_immediately(seed):
+    """Guards against a LEAVING record that spreads only by gossip or by an exchange."""
     fleet = Fleet(seed, vm_count=12)
     fleet.run_for(10.0)
     fleet.leave(fleet.targets[0])
@@ -32,10 +32,10 @@
     assert not any("t-0" in usable_on(vm, fleet.now) for vm in fleet.vms)
 
 
-@few
+@few_examples
 @given(SEEDS)
 def test_changes_spread_by_gossip_alone(seed):
-    """Guards against changes that only travel by push or by anti-entropy."""
+    """Guards against changes that spread only by push or by anti-entropy."""
     fleet = Fleet(seed, vm_count=8)
     fleet.run_for(6.0)
     fleet.sync = lambda vm, action: None
@@ -47,10 +47,10 @@
         assert vm.registry.get("t-0").incarnation == 2, vm.vm_id
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_exchange_repairs_what_gossip_missed(seed):
-    """Guards against records that stay different when the gossip about them was lost."""
+def test_an_exchange_transfers_records_whose_gossip_was_lost(seed):
+    """Guards against records that stay different after their gossip was lost."""
     fleet = Fleet(seed)
     fleet.run_for(8.0)
     fleet.start_target(fleet.targets[0])
@@ -64,8 +64,8 @@
 
 @settings(max_examples=15)
 @given(SEEDS, st.floats(15.0, 60.0), st.integers(1, 2))
-def test_leave_during_a_cut_is_known_soon_after_it_heals(seed, duration, size):
-    """Guards against two sides that take seconds to notice that they can reach each other."""
+def test_a_leave_during_a_partition_is_known_soon_after_it_heals(seed, duration, size):
+    """Guards against a healed partition that is detected only after seconds."""
     fleet = Fleet(seed, vm_count=6)
     fleet.run_for(10.0)
     fleet.cut = frozenset(f"vm-{5 - i}" for i in range(size))
@@ -81,8 +81,8 @@
 
 @settings(max_examples=15)
 @given(SEEDS, st.floats(4.0, 6.0))
-def test_leave_is_known_soon_after_a_short_cut(seed, duration):
-    """Guards against a VM that missed the push and its retries and waits for an exchange."""
+def test_a_leave_is_known_soon_after_a_short_partition(seed, duration):
+    """Guards against a VM that misses a push and its retries and waits for the next exchange."""
     fleet = Fleet(seed)
     fleet.run_for(10.0)
     fleet.cut = frozenset({"vm-3"})
@@ -90,16 +90,16 @@
     fleet.leave(fleet.targets[0])
     fleet.run_for(duration)
     for vm in fleet.vms:
-        vm.registry.queue.discard("target/t-0")  # gossip has used up its retransmissions
+        vm.registry.queue.discard("target/t-0")  # its transmissions by gossip are used up
     fleet.cut = frozenset()
     fleet.run_for(LEAVE_BOUND_S)
     assert "t-0" not in usable_on(fleet.vms[3], fleet.now)
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_targets_of_a_dead_home_are_usable_for_the_grace_time_only(seed):
-    """Guards against losing targets with their home VM, and against using dead ones for long."""
+def test_targets_of_a_dead_home_vm_are_usable_for_the_grace_time_only(seed):
+    """Guards against losing targets with their home VM, and against using dead targets for long."""
     fleet = Fleet(seed)
     fleet.run_for(8.0)
     home = fleet.targets[0].home
@@ -112,10 +112,10 @@
     assert not any("t-0" in usable_on(vm, fleet.now) for vm in others)
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_restarted_home_expires_targets_that_do_not_renew(seed):
-    """Guards against a dead target that stays usable since its home VM lost the lease."""
+def test_a_restarted_home_vm_expires_targets_that_do_not_renew(seed):
+    """Guards against a dead target that stays usable because its home VM lost the lease."""
     fleet = Fleet(seed)
     fleet.run_for(8.0)
     home = fleet.vms[fleet.targets[0].home]
@@ -127,8 +127,8 @@
     assert not any("t-0" in usable_on(vm, fleet.now) for vm in fleet.vms)
 
 
-def pushes_until_known(leaving, seed):
-    """Let targets leave one by one within 0.2 s, each twice; return the pushes of all VMs."""
+def count_pushes_of_leaving_targets(leaving, seed):
+    """Let targets leave one by one within 0.2 s, each twice; return the number of pushes."""
     fleet = Fleet(seed, vm_count=12, target_count=leaving)
     for target in fleet.targets:
         target.home = 0
@@ -148,25 +148,25 @@
 @settings(max_examples=3)
 @given(SEEDS)
 def test_targets_that_leave_together_share_messages(seed):
-    """Load pattern: a whole service leaves, and each target repeats its report."""
+    """Load pattern: all targets of a service leave, and each repeats its leave request."""
     other_vms = 11
-    assert pushes_until_known(60, seed) < 60 * other_vms
+    assert count_pushes_of_leaving_targets(60, seed) < 60 * other_vms
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_vms_that_send_nothing_to_targets_take_no_share_of_their_budgets(seed):
-    """Guards against budgets that shrink with each VM set aside for control."""
+def test_control_only_vms_take_no_share_of_connection_budgets(seed):
+    """Guards against budgets that shrink with each VM that is reserved for control."""
     fleet = Fleet(seed, vm_count=5, control_only=2)
     fleet.run_for(8.0)
     assert all(vm.core.budget_count(fleet.now) == 3 for vm in fleet.vms)
     assert all(len(vm.core.live_vms(fleet.now)) == 5 for vm in fleet.vms)
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_dead_vm_counts_for_budgets_and_is_then_forgotten_by_all(seed):
-    """Guards against growing shares too early, and against dead records that never vanish."""
+def test_a_dead_vm_counts_for_budgets_and_is_then_removed_by_all(seed):
+    """Guards against shares that grow too early, and dead records that are never removed."""
     fleet = Fleet(seed)
     fleet.run_for(8.0)
     fleet.vms[3].core = None
@@ -180,10 +180,10 @@
     assert all(len(vm.core.all_vms()) == 3 for vm in others)
 
 
-@few
+@few_examples
 @given(SEEDS, st.integers(4, 12))
-def test_joining_vm_keeps_all_connections_within_the_limit(seed, limit):
-    """Guards against VMs that use the places of one that joins before they know of it."""
+def test_connections_stay_within_the_limit_while_a_vm_joins(seed, limit):
+    """Guards against VMs that use the connections of a joining VM that is unknown to them."""
     fleet = Fleet(seed)
     fleet.vms[3].core = None
     fleet.run_for(80.0)
@@ -194,9 +194,9 @@
         assert sum(shares) <= limit
 
 
-@few
+@few_examples
 @given(SEEDS)
-def test_many_changes_travel_in_bounded_messages(seed):
+def test_many_changes_are_sent_in_messages_of_bounded_size(seed):
     """Guards against messages that grow with the number of changes; `Fleet.call` checks sizes."""
     fleet = Fleet(seed, vm_count=3, target_count=40)
     fleet.run_for(4.0)
@@ -223,8 +223,8 @@
 
 
 @given(st.lists(RECORDS, min_size=1, max_size=8), SEEDS)
-def test_records_merge_to_the_same_in_any_order(records, seed):
-    """Guards against VMs that disagree for good since they heard of changes in another order."""
+def test_target_records_merge_to_the_same_result_in_any_order(records, seed):
+    """Guards against VMs that disagree permanently after changes in different orders."""
     shuffled = [*records, *records]
     Random(seed).shuffle(shuffled)
     first, second = (TargetRegistry.from_config(CFG, "vm", 0.0) for _ in range(2))
@@ -244,8 +244,8 @@
 
 
 @given(st.lists(VM_RECORDS, min_size=1, max_size=8), SEEDS)
-def test_vm_records_merge_to_the_same_in_any_order(records, seed):
-    """Guards against VMs that keep different addresses of the same VM for good."""
+def test_vm_records_merge_to_the_same_result_in_any_order(records, seed):
+    """Guards against VMs that permanently keep different addresses of the same VM."""
     shuffled = [*records, *records]
     Random(seed).shuffle(shuffled)
     tables = [VmTable(CFG, peer_pb2.VmRecord(vm_id="me")) for _ in range(2)]
@@ -255,7 +255,7 @@
     assert tables[0].get("x") == tables[1].get("x") == max(records, key=vm_key)
 
 
-def announcement(**fields):
+def make_report(**fields):
     record = target_pb2.TargetRecord(
         target_id="t", incarnation=1, sequence=1, state=SERVING, service="s", host="h", port=1
     )
@@ -263,31 +263,31 @@
     return target_pb2.AnnounceRequest(record=record)
 
 
-def test_only_changes_travel_and_a_left_target_cannot_announce():
-    """Guards against gossip for each renewal, and against a renewal that undoes a leave."""
+def test_only_changes_are_sent_and_a_target_that_left_cannot_renew():
+    """Guards against gossip for each renewal, and against a renewal that reverts a leave."""
     registry = TargetRegistry.from_config(CFG, "vm", 0.0)
-    assert registry.announce(announcement(), 0.0)[1]
-    assert registry.announce(announcement(sequence=2), 2.0)[1] == []
-    assert registry.announce(announcement(sequence=1, port=9), 2.5)[1] == [], "late"
-    assert registry.announce(announcement(sequence=3, port=2), 4.0)[1]
+    assert registry.announce(make_report(), 0.0)[1]
+    assert registry.announce(make_report(sequence=2), 2.0)[1] == []
+    assert registry.announce(make_report(sequence=1, port=9), 2.5)[1] == [], "late"
+    assert registry.announce(make_report(sequence=3, port=2), 4.0)[1]
     left = registry.leave(target_pb2.LeaveRequest(target_id="t", incarnation=1), 5.0)
     assert any(isinstance(action, PushRecords) for action in left)
     with pytest.raises(InvalidRequest):
-        registry.announce(announcement(sequence=9), 6.0)
+        registry.announce(make_report(sequence=9), 6.0)
     assert registry.usable("s", 6.0) == []
-    registry.announce(announcement(incarnation=2), 7.0)
+    registry.announce(make_report(incarnation=2), 7.0)
     assert len(registry.usable("s", 7.0)) == 1
     registry.leave(target_pb2.LeaveRequest(target_id="t", incarnation=1), 8.0)
     assert len(registry.usable("s", 8.0)) == 1, "a late leave of an earlier incarnation"
     with pytest.raises(InvalidRequest):
-        registry.announce(announcement(incarnation=0, sequence=9, state=2, service=""), 9.0)
+        registry.announce(make_report(incarnation=0, sequence=9, state=2, service=""), 9.0)
 
 
-def test_all_vms_forget_a_left_target_at_the_same_time():
-    """Guards against records that VMs hand to each other forever, each with a new age."""
+def test_all_vms_remove_a_target_that_left_at_the_same_time():
+    """Guards against records that VMs send to each other forever, each time with a new age."""
     registries = [TargetRegistry.from_config(CFG, f"vm-{i}", 0.0) for i in range(2)]
     first, second = registries
-    first.announce(announcement(), 0.0)
+    first.announce(make_report(), 0.0)
     first.leave(target_pb2.LeaveRequest(target_id="t", incarnation=1), 0.0)
     late = CFG.leaving_retention_s - 10.5
     second.merge([first.outgoing("t", late)], late)
@@ -300,28 +300,30 @@
     assert [registry.get("t") for registry in registries] == [None, None]
 
 
-def test_dumps_name_states_and_survive_unknown_ones():
-    """Guards against a dump that a record of a newer version breaks."""
+def test_state_names_cover_unknown_states():
+    """Guards against a dump that fails on a record of a newer version."""
     names = [state_name(peer_pb2.VmRecord(state=1)), state_name(target_pb2.TargetRecord(state=4))]
     assert names == ["alive", "leaving"]
     assert state_name(target_pb2.TargetRecord(state=99)) == "99"
 
 
-def test_a_target_that_said_that_it_leaves_stays_gone_in_its_incarnation():
-    """Guards against an older report, or a VM that has not heard, that brings it back."""
+def test_a_target_that_stated_in_a_reply_that_it_leaves_stays_unusable_in_its_incarnation():
+    """Guards against an older report, or a VM without the LEAVING record, that reverts it."""
     registry, other = (TargetRegistry.from_config(CFG, vm, 0.0) for vm in ("vm", "other"))
-    registry.announce(announcement(sequence=4), 0.0)
-    other.announce(announcement(sequence=4), 0.0)
+    registry.announce(make_report(sequence=4), 0.0)
+    other.announce(make_report(sequence=4), 0.0)
     assert registry.note_leaving("t", 2, 1.0) == [] == registry.note_leaving("u", 1, 1.0)
     actions = registry.note_leaving("t", 1, 1.0)
-    assert [a.fanout for a in actions if isinstance(a, PushRecords)], "a few VMs are told"
-    assert registry.note_leaving("t", 1, 1.1) == [], "they are told once"
-    other.announce(announcement(sequence=9), 2.0)
+    assert [a.fanout for a in actions if isinstance(a, PushRecords)], (
+        "the record is pushed to a few VMs"
+    )
+    assert registry.note_leaving("t", 1, 1.1) == [], "it is pushed once"
+    other.announce(make_report(sequence=9), 2.0)
     registry.merge([other.outgoing("t", 2.0)], 2.0)
     with pytest.raises(InvalidRequest):
-        registry.announce(announcement(sequence=10), 3.0)
+        registry.announce(make_report(sequence=10), 3.0)
     assert registry.usable("s", 3.0) == []
     other.merge([registry.outgoing("t", 3.0)], 3.0)
-    assert other.usable("s", 3.0) == [], "the VM that had not heard hears it"
-    registry.announce(announcement(incarnation=2), 4.0)
-    assert len(registry.usable("s", 4.0)) == 1, "a new incarnation is free of it"
+    assert other.usable("s", 3.0) == [], "the other VM receives the LEAVING record"
+    registry.announce(make_report(incarnation=2), 4.0)
+    assert len(registry.usable("s", 4.0)) == 1, "the leave does not apply to a new incarnation"
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -1,4 +1,4 @@
-"""State machine over several membership cores under faults of any kind."""
+"""Stateful property test of several VMs of a group under faults of any kind."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -9,10 +9,10 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Faults in any order."""
+    """Applies faults in any order."""
 
     @initialize(seed=st.integers(0, 2**32))
-    def begin(self, seed):
+    def start_fleet(self, seed):
         self.fleet = Fleet(seed)
         self.fleet.run_for(8.0)
 
@@ -28,12 +28,12 @@
     def change_network(self, loss, duplicates, latency_s):
         fleet = self.fleet
         fleet.loss, fleet.duplicates, fleet.latency_s = loss, duplicates, latency_s
-        fleet.disturbed()
+        fleet.mark_disturbed()
 
     @rule(members=st.sets(st.integers(0, 3), max_size=2))
     def cut(self, members):
         self.fleet.cut = frozenset(f"vm-{i}" for i in members)
-        self.fleet.disturbed()
+        self.fleet.mark_disturbed()
 
     @rule(index=st.integers(0, 3), duration=st.floats(0.5, 20.0))
     def pause(self, index, duration):
@@ -44,7 +44,7 @@
     @rule(index=st.integers(0, 3))
     def kill(self, index):
         self.fleet.vms[index].core = None
-        self.fleet.disturbed()
+        self.fleet.mark_disturbed()
 
     @rule(index=st.integers(0, 3), incarnation=st.sampled_from([1, 2, 50]))
     def restart(self, index, incarnation):
@@ -52,7 +52,7 @@
         vm = self.fleet.vms[index]
         if vm.core is None:
             self.fleet.start_vm(vm, incarnation)
-            self.fleet.disturbed()
+            self.fleet.mark_disturbed()
 
     @rule(index=st.integers(0, 2))
     def leave(self, index):
@@ -61,27 +61,29 @@
             self.fleet.leave(target)
 
     @rule(index=st.integers(0, 2), cut=st.integers(0, 3), delay=st.floats(0.0, 30.0))
-    def leave_while_late_announcements_reach_a_cut_off_vm(self, index, cut, delay):
-        """Let a target leave on one side of a cut while the other side hears it announce."""
+    def leave_while_a_partitioned_vm_receives_late_reports(self, index, cut, delay):
+        """Let a target leave on one side of a partition while the other gets its reports."""
         fleet = self.fleet
         target = fleet.targets[index]
         if not target.running or target.left_at is not None:
             return
         self.cut({cut})
-        life = (target.target_id, target.incarnation)
-        sent = [
-            r for _, r in fleet.replayable if (r.record.target_id, r.record.incarnation) == life
+        incarnation_key = (target.target_id, target.incarnation)
+        reports = [
+            r
+            for _, r in fleet.sent_reports
+            if (r.record.target_id, r.record.incarnation) == incarnation_key
         ]
-        if not sent:
+        if not reports:
             return
         target.home = (cut + 1) % len(fleet.vms)
         fleet.leave(target)
         for sequence in range(1, 4):
             late = target_pb2.AnnounceRequest()
-            late.CopyFrom(sent[-1])
+            late.CopyFrom(reports[-1])
             late.record.sequence += sequence
             late.record.port = 9000 + sequence
-            fleet.deliver_announcement(fleet.vms[cut], late)
+            fleet.deliver_report(fleet.vms[cut], late)
         fleet.run_for(delay)
         self.cut(set())
         fleet.run_for(LEAVE_BOUND_S + TICK_S)
@@ -97,21 +99,21 @@
             self.fleet.start_target(target)
 
     @rule(index=st.integers(0, 3), data=st.data())
-    def replay_announcement(self, index, data):
-        """Deliver an announcement late and once more, to any VM."""
+    def replay_report(self, index, data):
+        """Deliver a report again, late and to any VM."""
         fleet = self.fleet
-        recent = [r for at, r in fleet.replayable if fleet.now - at < REPLAY_AGE_S]
+        recent = [r for at, r in fleet.sent_reports if fleet.now - at < REPLAY_AGE_S]
         if recent:
-            fleet.deliver_announcement(fleet.vms[index], data.draw(st.sampled_from(recent[-40:])))
+            fleet.deliver_report(fleet.vms[index], data.draw(st.sampled_from(recent[-40:])))
 
     @rule()
     def settle(self):
         self.fleet.settle()
 
     @invariant()
-    def left_targets_get_no_work(self):
+    def leaving_targets_are_not_used(self):
         if hasattr(self, "fleet"):
-            self.fleet.check_bounds()
+            self.fleet.check_leave_bound()
 
     def teardown(self):
         if hasattr(self, "fleet"):
--- a/tests/test_membership_new_targets.py
+++ b/tests/test_membership_new_targets.py
@@ -1,4 +1,4 @@
-"""How fast targets become known after their VMs started together."""
+"""Pushes of targets that are new to their home VM."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     return [action for action in registry.push_new() if isinstance(action, PushRecords)]
 
 
-def test_targets_that_are_new_to_their_home_are_pushed_together():
-    """Load pattern: power returns everywhere, and all targets announce within a second."""
+def test_targets_new_to_their_home_vm_are_pushed_in_one_push():
+    """Load pattern: after a power loss all targets send their first report within a second."""
     registry = TargetRegistry(MembershipConfig(), "vm1", 0.0)
     for number in range(30):
         announce(registry, f"t{number}", 1, 0.1)
--- a/tests/test_state_follower.py
+++ b/tests/test_state_follower.py
@@ -22,7 +22,7 @@
 
 @attrs.define(eq=False)
 class Vm:
-    """A VM with its own clock; the rate is the error that NTP may leave."""
+    """A VM with its own clock, whose rate differs by the error that NTP allows."""
 
     address: str
     offset: float
@@ -37,8 +37,8 @@
         return self.offset + self.rate * time
 
 
-class World:
-    """VMs, gossip with delays, and the true history of commits to check against."""
+class FollowerSimulation:
+    """Simulates VMs and gossip with delays, and checks them against the history of commits."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -49,7 +49,7 @@
         self.ids = itertools.count()
         self.max_delay = 0.01
         self.loss = 0.0
-        self.cuts: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.vms = [
             Vm(
                 f"10.0.0.{i}:7070",
@@ -62,8 +62,8 @@
         self.leader: Vm | None = self.vms[0]
         for vm in self.vms:
             self.start(vm)
-            self.at(self.rng.random(), lambda vm=vm: self.gossip(vm))
-            self.at(self.rng.random(), lambda vm=vm: self.tick(vm))
+            self.schedule_at(self.rng.random(), lambda vm=vm: self.gossip(vm))
+            self.schedule_at(self.rng.random(), lambda vm=vm: self.tick(vm))
 
     def start(self, vm: Vm) -> None:
         rng = random.Random(self.rng.random())
@@ -72,11 +72,11 @@
         )
         vm.before_restart, vm.in_force, vm.revision = vm.in_force, -1, 0
 
-    def at(self, time: float, call: object) -> None:
+    def schedule_at(self, time: float, call: object) -> None:
         heapq.heappush(self.events, (time, next(self.ids), call))
 
-    def later(self, call: object) -> None:
-        self.at(self.time + self.rng.uniform(0, self.max_delay), call)
+    def schedule_delivery(self, call: object) -> None:
+        self.schedule_at(self.time + self.rng.uniform(0, self.max_delay), call)
 
     def commit(self) -> None:
         revision = self.log.revision + 1
@@ -94,42 +94,47 @@
         for vm in self.vms:
             self.check(vm)
 
-    def reaches(self, vm: Vm, peer: Vm) -> bool:
-        return (vm.address, peer.address) not in self.cuts and self.rng.random() >= self.loss
+    def is_delivered(self, vm: Vm, peer: Vm) -> bool:
+        return (
+            vm.address,
+            peer.address,
+        ) not in self.blocked_links and self.rng.random() >= self.loss
 
     def tick(self, vm: Vm) -> None:
         now = vm.clock(self.time)
         if vm is self.leader:
             host, port = vm.address.split(":")
-            # The newest quorum round started up to a heartbeat ago.
+            # The newest quorum round started at most one heartbeat period ago.
             confirmed_at = vm.clock(self.time - self.rng.uniform(0, 0.15))
-            self.do(vm, vm.follower.on_local(self.log, True, now, confirmed_at, (host, int(port))))
-        self.do(vm, vm.follower.tick(vm.clock(self.time)))
-        self.at(self.time + 0.15, lambda: self.tick(vm))
+            self.execute(
+                vm, vm.follower.on_local(self.log, True, now, confirmed_at, (host, int(port)))
+            )
+        self.execute(vm, vm.follower.tick(vm.clock(self.time)))
+        self.schedule_at(self.time + 0.15, lambda: self.tick(vm))
 
     def gossip(self, vm: Vm) -> None:
-        """Probe a random VM; the status rides on the probe and on the answer."""
+        """Probe a random VM; the probe and its reply carry the status."""
         peer = self.rng.choice([other for other in self.vms if other is not vm])
         sent_at, follower = vm.clock(self.time), vm.follower
         probe = follower.status(sent_at)
 
         def on_probe() -> None:
             now = peer.clock(self.time)
-            self.do(peer, peer.follower.on_status(vm.address, probe, now))
-            answer = peer.follower.status(now)
-            if self.reaches(peer, vm):
-                self.later(lambda: on_answer(answer))
+            self.execute(peer, peer.follower.on_status(vm.address, probe, now))
+            probe_reply = peer.follower.status(now)
+            if self.is_delivered(peer, vm):
+                self.schedule_delivery(lambda: on_probe_reply(probe_reply))
 
-        def on_answer(answer: ConfigStatus) -> None:
+        def on_probe_reply(probe_reply: ConfigStatus) -> None:
             if vm.follower is follower:
                 now = vm.clock(self.time)
-                self.do(vm, follower.on_status(peer.address, answer, now, sent_at))
+                self.execute(vm, follower.on_status(peer.address, probe_reply, now, sent_at))
 
-        if self.reaches(vm, peer):
-            self.later(on_probe)
-        self.at(self.time + 1, lambda: self.gossip(vm))
+        if self.is_delivered(vm, peer):
+            self.schedule_delivery(on_probe)
+        self.schedule_at(self.time + 1, lambda: self.gossip(vm))
 
-    def do(self, vm: Vm, actions: list[object]) -> None:
+    def execute(self, vm: Vm, actions: list[object]) -> None:
         for action in actions:
             match action:
                 case FetchConfig():
@@ -149,27 +154,27 @@
         def failed() -> None:
             if vm.follower is follower:
                 now = vm.clock(self.time)
-                self.do(vm, follower.on_fetch_failed(action.peer_address, now))
+                self.execute(vm, follower.on_fetch_failed(action.peer_address, now))
 
         def on_request() -> None:
             if action.leader_confirmed and peer is not self.leader:
-                self.later(failed)
+                self.schedule_delivery(failed)
                 return
             now = peer.clock(self.time)
             if action.leader_confirmed:
-                self.do(peer, peer.follower.on_local(self.log, True, now, now))
+                self.execute(peer, peer.follower.on_local(self.log, True, now, now))
             reply = peer.follower.fetch_reply(action.from_revision, now)
-            self.later(lambda: on_reply(reply))
+            self.schedule_delivery(lambda: on_reply(reply))
 
         def on_reply(reply: FetchConfigReply) -> None:
             if vm.follower is follower:
                 now = vm.clock(self.time)
-                self.do(vm, follower.on_fetched(action.peer_address, reply, now))
+                self.execute(vm, follower.on_fetched(action.peer_address, reply, now))
 
-        self.later(on_request if self.reaches(vm, peer) else failed)
+        self.schedule_delivery(on_request if self.is_delivered(vm, peer) else failed)
 
     def check(self, vm: Vm) -> None:
-        """Ages are never understated and revisions never go down."""
+        """Check that ages are never understated and that revisions never decrease."""
         now, follower = vm.clock(self.time), vm.follower
         assert follower.config.revision >= vm.revision
         vm.revision = follower.config.revision
@@ -180,82 +185,86 @@
             assert covered <= status.leader_revision
 
     def revision_at(self, time: float) -> int:
-        # Clocks hold up to 1e6 s as floats, whose rounding is below a microsecond.
+        # Clock times are floats of up to 1e6 s, whose rounding error is below a microsecond.
         return bisect.bisect_left(self.commits, (time - 1e-6, 0))
 
-    def currents(self) -> list[bool]:
+    def current_flags(self) -> list[bool]:
         return [vm.follower.is_current(vm.clock(self.time)) for vm in self.vms]
 
 
 @bounded(80)
 @given(seed=SEEDS, size=st.integers(2, 9))
-def test_ages_are_never_understated_and_revisions_never_go_down(seed, size):
-    """Guards against a VM that calls an old configuration current, under any delays and faults."""
-    world = World(size, seed)
-    rng = world.rng
-    for vm in world.vms:
+def test_ages_are_never_understated_and_revisions_never_decrease(seed, size):
+    """Guards against a VM that reports an old configuration as current, under delays and faults."""
+    simulation = FollowerSimulation(size, seed)
+    rng = simulation.rng
+    for vm in simulation.vms:
         vm.cached = rng.choice([None, pb.ConfigImage()])
     for _ in range(25):
-        world.max_delay = rng.choice([0.01, 0.5, 5.0])
-        world.loss = rng.choice([0.0, 0.0, 0.3])
-        cut = {vm.address for vm in world.vms if rng.random() < 0.2}
-        world.cuts = (
-            {(a.address, b) for a in world.vms for b in cut} if rng.random() < 0.3 else set()
+        simulation.max_delay = rng.choice([0.01, 0.5, 5.0])
+        simulation.loss = rng.choice([0.0, 0.0, 0.3])
+        isolated = {vm.address for vm in simulation.vms if rng.random() < 0.2}
+        simulation.blocked_links = (
+            {(a.address, b) for a in simulation.vms for b in isolated}
+            if rng.random() < 0.3
+            else set()
         )
         for _ in range(rng.choice([0, 1, 3, 1100] if rng.random() < 0.1 else [0, 1, 3])):
-            world.commit()
+            simulation.commit()
         if rng.random() < 0.2:
-            world.leader = rng.choice([*world.vms, None])
+            simulation.leader = rng.choice([*simulation.vms, None])
         if rng.random() < 0.3:
-            world.start(rng.choice([vm for vm in world.vms if vm is not world.leader]))
-        world.run(rng.choice([0.1, 1.0, 4.0]))
-    world.max_delay, world.loss, world.cuts = 0.01, 0.0, set()
-    world.leader = world.leader or world.vms[0]
-    world.run(15)
-    assert all(world.currents())
-    assert all(vm.in_force == world.log.revision for vm in world.vms)
-    assert all(vm.follower.config.image() == world.log.image() for vm in world.vms)
+            simulation.start(
+                rng.choice([vm for vm in simulation.vms if vm is not simulation.leader])
+            )
+        simulation.run(rng.choice([0.1, 1.0, 4.0]))
+    simulation.max_delay, simulation.loss, simulation.blocked_links = 0.01, 0.0, set()
+    simulation.leader = simulation.leader or simulation.vms[0]
+    simulation.run(15)
+    assert all(simulation.current_flags())
+    assert all(vm.in_force == simulation.log.revision for vm in simulation.vms)
+    assert all(vm.follower.config.image() == simulation.log.image() for vm in simulation.vms)
 
 
 @bounded(10)
 @given(seed=SEEDS)
-def test_a_vm_that_hears_the_leader_only_through_others_is_current(seed):
+def test_a_vm_that_reaches_the_leader_only_through_peers_is_current(seed):
     """Guards against VMs that count as stale because they cannot reach the leader themselves."""
-    world = World(8, seed)
-    leader, apart = world.vms[0].address, world.vms[1].address
-    world.cuts = {(leader, apart), (apart, leader)}
-    world.run(12)
+    simulation = FollowerSimulation(8, seed)
+    leader, partitioned = simulation.vms[0].address, simulation.vms[1].address
+    simulation.blocked_links = {(leader, partitioned), (partitioned, leader)}
+    simulation.run(12)
     for _ in range(30):
-        world.run(1)
-        assert all(world.currents())
-    world.commit()
-    # Gossip alone, without the leader's push that the daemon adds.
-    world.run(4)
-    assert [vm.in_force for vm in world.vms] == [1] * 8
+        simulation.run(1)
+        assert all(simulation.current_flags())
+    simulation.commit()
+    # Gossip alone, since the leader's push is part of the daemon.
+    simulation.run(4)
+    assert [vm.in_force for vm in simulation.vms] == [1] * 8
 
 
 @bounded(10)
 @given(seed=SEEDS)
-def test_without_a_leader_vms_become_stale_and_start_on_what_they_have(seed):
-    """Guards against a cut-off VM that does not serve, or serves without saying that it is old."""
-    world = World(4, seed)
-    world.commit()
-    world.run(5)
-    world.leader = None
-    world.run(6.2)
-    assert not any(world.currents())
-    restarted = world.vms[2]
+def test_without_a_leader_vms_become_stale_and_start_with_the_newest_known_configuration(seed):
+    """Guards against a partitioned VM that serves nothing, or does not report stale data."""
+    simulation = FollowerSimulation(4, seed)
+    simulation.commit()
+    simulation.run(5)
+    simulation.leader = None
+    simulation.run(6.2)
+    assert not any(simulation.current_flags())
+    restarted = simulation.vms[2]
     restarted.cached = pb.ConfigImage(revision=0)
-    world.start(restarted)
-    world.run(9.5)
+    simulation.start(restarted)
+    simulation.run(9.5)
     assert not restarted.follower.is_ready
-    world.run(1)
+    simulation.run(1)
     assert (restarted.in_force, restarted.follower.is_ready) == (1, True)
-    assert not any(world.currents())
+    assert not any(simulation.current_flags())
 
 
 def test_a_starting_vm_waits_for_a_confirmation_younger_than_its_start():
-    """Guards against a restart on an older revision than the VM had in force before."""
+    """Guards against a restart with an older revision than was in force before."""
     follower = ConfigFollower.from_config(FollowerConfig(), None, random.Random(1), now=100)
     old = ConfigStatus(
         revision=6, leader_revision=6, leader_age_ms=5000, confirmed=True, leader_port=1
@@ -272,8 +281,8 @@
     assert follower.is_current(101.5)
 
 
-def test_an_empty_status_proves_nothing():
-    """Guards against a default message that reads as a confirmation without age."""
+def test_an_empty_status_is_no_confirmation():
+    """Guards against a default message that counts as a confirmation of age 0."""
     follower = ConfigFollower.from_config(FollowerConfig(), None, random.Random(1), now=0)
     for time in (1.0, 20.0):
         follower.on_status("10.0.0.2:1", ConfigStatus(), now=time, sent_at=time)
@@ -302,7 +311,7 @@
     ids=["overlap", "order", "gap", "gap inside", "older image", "newer image"],
 )
 def test_deltas_apply_only_in_sequence(reply, revision, names):
-    """Guards against a configuration that misses a change or goes back."""
+    """Guards against a configuration that misses a change or returns to an older revision."""
     cached = pb.ConfigImage(revision=2)
     follower = ConfigFollower.from_config(FollowerConfig(), cached, random.Random(1), now=0)
     follower.on_fetched("10.0.0.2:1", reply, now=1)
@@ -310,7 +319,7 @@
 
 
 def test_a_voter_with_an_older_replicated_state_keeps_its_stored_revision():
-    """Guards against a voter that goes back while it reads its log again after a restart."""
+    """Guards against a voter that returns to an older revision while it replays its log."""
     cached = pb.ConfigImage(revision=7)
     follower = ConfigFollower.from_config(FollowerConfig(), cached, random.Random(1), now=0)
     older = ConfigState.from_image(pb.ConfigImage(revision=3))
@@ -325,8 +334,8 @@
 
 
 @given(hops=HOPS)
-def test_an_age_that_is_passed_on_is_never_below_the_true_one(hops):
-    """Guards against ages that shrink by rounding, by slow clocks or by the time in flight."""
+def test_an_age_that_is_passed_on_is_never_understated(hops):
+    """Guards against ages that shrink by rounding, slow clocks or network delay."""
     time, rate = 0.0, 1.0
     known = Confirmation(revision=1, at=0.0)
     for next_rate, waited, in_flight in hops:
@@ -334,6 +343,6 @@
         age_ms = known.age_ms(rate * time)
         assert age_ms >= time * 1000 - 1e-6
         status = ConfigStatus(leader_revision=1, leader_age_ms=age_ms, confirmed=True)
-        # The request was sent just before the reply was made, and the reply took long.
+        # The request is sent just before the reply is created, and the reply is delayed.
         known = Confirmation.from_reply(status, sent_at=next_rate * time)
         time, rate = time + in_flight, next_rate
--- a/tests/test_state_replicated.py
+++ b/tests/test_state_replicated.py
@@ -19,9 +19,9 @@
 
 
 class Replicas(RuleBasedStateMachine):
-    """Guards against repeated runs, lost changes, and replicas that differ.
+    """Guards against repeated execution, lost changes, and replicas that differ.
 
-    Attempts follow the protocol of the VMs, and any command of theirs may be applied again later.
+    Attempts follow the protocol of the VMs, and any of their commands may be applied again later.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self.answers: dict[str, pb.CommandResult] = {}
         self.revision = 0
         self.runs: dict[bytes, list[str]] = {}
-        self.given_up: set[str] = set()
+        self.abandoned: set[str] = set()
         self.completed: dict[bytes, bytes] = {}
 
     def apply(self, command: pb.Command) -> pb.CommandResult:
@@ -86,9 +86,9 @@
         claim_id = pb.ClaimId(service="s", request_key=key, issued_at_ms=issued)
         attempt = f"a{len(self.log)}"
         opening = pb.ClaimOpen(id=claim_id, attempt_id=attempt, vm_id="vm")
-        outcome = data.draw(st.sampled_from(["silent", "gives up", "runs", "answers"]))
-        if outcome == "gives up" and data.draw(st.booleans()):
-            self.given_up.add(attempt)
+        outcome = data.draw(st.sampled_from(["silent", "abandons", "runs", "answers"]))
+        if outcome == "abandons" and data.draw(st.booleans()):
+            self.abandoned.add(attempt)
             abandon = pb.ClaimAbandon(id=claim_id, attempt_id=attempt)
             self.apply(pb.Command(claim_abandon=abandon))
         result = self.apply(pb.Command(claim_open=opening))
@@ -97,11 +97,11 @@
             assert result.code == pb.RESULT_CODE_KEY_EXPIRED
         elif run_key in self.completed:
             assert (result.code, result.answer) == (ANSWERED, self.completed[run_key])
-        if result.code != WON or outcome == "silent" or attempt in self.given_up:
-            assert not (result.code == WON and attempt in self.given_up)
+        if result.code != WON or outcome == "silent" or attempt in self.abandoned:
+            assert not (result.code == WON and attempt in self.abandoned)
             return
-        if outcome == "gives up":
-            self.given_up.add(attempt)
+        if outcome == "abandons":
+            self.abandoned.add(attempt)
             abandon = pb.ClaimAbandon(id=claim_id, attempt_id=attempt)
             assert self.apply(pb.Command(claim_abandon=abandon)).code == OK
             return
@@ -116,7 +116,7 @@
 
     @rule(data=st.data())
     def repeat(self, data: st.DataObject) -> None:
-        """Apply a command of the past again, as a late duplicate."""
+        """Apply an earlier command again, as a late duplicate."""
         if not self.log:
             return
         command = self.log[data.draw(st.integers(0, len(self.log) - 1))]
@@ -142,7 +142,7 @@
         assert self.follower.image() == self.first.config.image()
 
     @invariant()
-    def replicas_agree_and_nothing_ran_twice(self) -> None:
+    def replicas_agree_and_no_request_ran_twice(self) -> None:
         assert self.first.image() == self.second.image()
         assert all(len(attempts) == 1 for attempts in self.runs.values())
         assert all(
@@ -156,8 +156,8 @@
 
 
 @given(data=st.binary(max_size=40))
-def test_any_bytes_give_a_result(data):
-    """Guards against a command that stops every node that applies it."""
+def test_any_command_bytes_return_a_result(data):
+    """Guards against a command that crashes every node that applies it."""
     state = ReplicatedState()
     assert state.apply(pb.Entry(index=1, command=data)).code != pb.RESULT_CODE_UNSPECIFIED
 
@@ -232,8 +232,8 @@
     assert state.claims.answer_bytes == sum(len(claim.answer) for claim in image.claims)
 
 
-def test_the_floor_follows_the_retention_and_not_one_wrong_clock():
-    """Guards against claims that are kept for ever, and a clock that expires all requests."""
+def test_the_floor_follows_the_retention_time_and_ignores_a_wrong_clock():
+    """Guards against claims that are kept forever, and a wrong clock that expires all requests."""
     table = ClaimTable()
     for issued in (1, CLAIM_RETENTION_MS, 2 * CLAIM_RETENTION_MS):
         claim_id = pb.ClaimId(service="s", request_key="k", issued_at_ms=issued)
--- a/tests/test_state_routes.py
+++ b/tests/test_state_routes.py
@@ -1,4 +1,4 @@
-"""Versions of the route table in the replicated state."""
+"""Tests of the route table in the replicated state."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from bramleycrank.state.config_state import ConfigState
 
 
-def put(state: ReplicatedState, version: int, document: bytes, number: int):
-    """Apply a table as its own change."""
+def put_table(state: ReplicatedState, version: int, document: bytes, number: int):
+    """Apply a route table in a change of its own."""
     change = Change(
         change_id=f"c{number}", put_routes=RouteTable(version=version, document=document)
     )
@@ -33,11 +33,11 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from([b"x", b"y"])), max_size=30))
-def test_the_highest_version_wins_and_stands_for_one_table(sends):
-    """Operators race with equal versions, resend, and send old versions again."""
+def test_the_highest_version_wins_and_identifies_one_table(sent_tables):
+    """Guards against operators that send equal versions at once or resend old versions."""
     state, held = ReplicatedState(), (0, b"")
-    for number, (version, document) in enumerate(sends, 1):
-        result = put(state, version, document, number)
+    for number, (version, document) in enumerate(sent_tables, 1):
+        result = put_table(state, version, document, number)
         if version == 0:
             assert result.code == RESULT_CODE_INVALID
         elif version == held[0] and document != held[1]:
@@ -51,8 +51,8 @@
     assert copy.config.routes == state.config.routes
 
 
-def test_a_packed_table_is_the_same_however_it_was_compressed():
-    """A change is sent again to a VM whose library compresses in another way."""
+def test_tables_are_equal_whatever_their_compression():
+    """Guards against a conflict after a resend to a VM whose zlib compresses differently."""
     table = RouteTable(version=3, document=b"x" * 1000)
     packed = pack(table)
     again = RouteTable(version=3, packed=zlib.compress(table.SerializeToString(), 1))
@@ -72,15 +72,15 @@
     assert unpack(state.config.routes) == table
 
 
-def test_a_damaged_packed_table_is_an_error():
+def test_a_damaged_packed_table_raises_an_error():
     packed = pack(RouteTable(version=3, document=b"x" * 1000))
     for damaged in (packed.packed[:-5], b"no zlib"):
         with pytest.raises(ValueError, match="route table 3"):
             unpack(RouteTable(version=3, packed=damaged))
 
 
-def test_a_table_of_many_routes_travels_compressed():
-    """Load pattern: the table grows by many routes, and hundreds of VMs get each version."""
+def test_a_table_of_many_routes_is_compressed():
+    """Load pattern: the table has many routes, and hundreds of VMs fetch each version."""
     names = [f"service-{n}" for n in range(100)]
     routes = [Route(name=f"r{n}", host="h", path_prefix=f"/{n}/", shards=names) for n in range(40)]
     table = RouteTable(version=1, routes=routes, document=b",".join(n.encode() for n in names) * 40)
@@ -90,16 +90,16 @@
 def test_a_follower_gets_the_table_by_deltas_and_by_image():
     state = ReplicatedState()
     for version in range(1, 4):
-        put(state, version, b"d%d" % version, version)
+        put_table(state, version, b"d%d" % version, version)
     by_delta, by_image = ConfigState(), ConfigState()
     assert by_delta.advance(state.config.deltas_since(0) or (), state.config.image())
     assert by_image.advance((), state.config.image())
     assert by_delta.routes == by_image.routes == state.config.routes
 
 
-def test_overtaken_tables_are_not_kept():
+def test_superseded_tables_are_not_kept():
     """Guards against a state that grows with each change of a large table."""
     state = ReplicatedState()
     for version in range(1, 200):
-        put(state, version, b"z" * 10_000, version)
+        put_table(state, version, b"z" * 10_000, version)
     assert len(state.image()) < 100_000
