--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -7,7 +7,7 @@
 import attrs
 import xxhash
 
-from bramleycrank.membership.borders import Ring
+from bramleycrank.membership.peer_selection import Ring
 from bramleycrank.membership.records import Key
 
 HEARD_ENOUGH = 3
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from bramleycrank.membership.borders import direct_receivers, spread_sample
+from bramleycrank.membership.peer_selection import direct_receivers, spread_sample
 from bramleycrank.membership.records import Key, address_of, target_key
 from bramleycrank.membership.types import PushRecords, SendProbe
 from bramleycrank.membership.view import GroupView
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from bramleycrank.membership.anti_entropy import AntiEntropy
-from bramleycrank.membership.borders import spread_sample
+from bramleycrank.membership.peer_selection import spread_sample
 from bramleycrank.membership.prober import Prober
 from bramleycrank.membership.pusher import Pusher
 from bramleycrank.membership.records import address_of
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterator
 
-from bramleycrank.membership.borders import Ring
+from bramleycrank.membership.peer_selection import Ring
 from bramleycrank.membership.records import (
     GONE_STATES,
     LIVE_STATES,
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -12,8 +12,8 @@
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
 from bramleycrank.daemon.far_contact import CUT_SILENCE_S
 from bramleycrank.membership import MembershipConfig
-from bramleycrank.membership.borders import CARRIERS, PARTNERS, Ring, spread_sample
 from bramleycrank.membership.gossip import HEARD_ENOUGH, GossipQueue
+from bramleycrank.membership.peer_selection import CARRIERS, PARTNERS, Ring, spread_sample
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
 
