--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -292,9 +292,9 @@
                 await asyncio.wait_for(known.wait(), LEAVE_WAIT_S)
         return LeaveReply()
 
-    def note_leaving(self, target_id: str, incarnation: int) -> None:
+    def mark_leaving(self, target_id: str, incarnation: int) -> None:
         """Record that a target itself said that it leaves."""
-        self._execute(self.registry.note_leaving(target_id, incarnation, self._clock()))
+        self._execute(self.registry.mark_leaving(target_id, incarnation, self._clock()))
 
     # Execution of actions.
 
--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -221,7 +221,7 @@
 
     def _on_leaving(self, target_id: str, incarnation: int) -> None:
         """Take the target's own word that it leaves; this VM may be cut off from its home VM."""
-        self._membership.note_leaving(target_id, incarnation)
+        self._membership.mark_leaving(target_id, incarnation)
 
     def _on_down(self, target_id: str, down: bool) -> None:
         log.info("sessions: target %s is %s", target_id, "down" if down else "up")
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -184,7 +184,7 @@
         leaving.target_id, leaving.incarnation = request.target_id, request.incarnation
         return [*self._store(leaving, now), PushRecords((leaving,))]
 
-    def note_leaving(self, target_id: str, incarnation: int, now: float) -> list[Action]:
+    def mark_leaving(self, target_id: str, incarnation: int, now: float) -> list[Action]:
         """Record that a target leaves, as its reply to this VM states; final for its incarnation.
 
         The target also sends a report to its home VM and the same state in its replies to other
--- a/tests/test_membership_bounds.py
+++ b/tests/test_membership_bounds.py
@@ -312,12 +312,12 @@
     registry, other = (TargetRegistry.from_config(CFG, vm, 0.0) for vm in ("vm", "other"))
     registry.announce(make_report(sequence=4), 0.0)
     other.announce(make_report(sequence=4), 0.0)
-    assert registry.note_leaving("t", 2, 1.0) == [] == registry.note_leaving("u", 1, 1.0)
-    actions = registry.note_leaving("t", 1, 1.0)
+    assert registry.mark_leaving("t", 2, 1.0) == [] == registry.mark_leaving("u", 1, 1.0)
+    actions = registry.mark_leaving("t", 1, 1.0)
     assert [a.fanout for a in actions if isinstance(a, PushRecords)], (
         "the record is pushed to a few VMs"
     )
-    assert registry.note_leaving("t", 1, 1.1) == [], "it is pushed once"
+    assert registry.mark_leaving("t", 1, 1.1) == [], "it is pushed once"
     other.announce(make_report(sequence=9), 2.0)
     registry.merge([other.outgoing("t", 2.0)], 2.0)
     with pytest.raises(InvalidRequest):
