--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -10,7 +10,7 @@
 from bramleycrank.membership.peer_selection import Ring
 from bramleycrank.membership.records import Key
 
-HEARD_ENOUGH = 3
+MAX_RECEIVED_COPIES = 3
 """Received copies of a change after which a VM no longer sends it in its own domain."""
 
 
@@ -36,7 +36,7 @@
     one.
 
     In a group with large domains, a VM stops sending a change within its domain after it received
-    ``HEARD_ENOUGH`` copies, because most of the domain has it then. Only a few VMs of each domain
+    ``MAX_RECEIVED_COPIES`` copies, because most of the domain has it then. Only a few VMs of each domain
     send a change to other domains.
 
     Parameters
@@ -101,7 +101,7 @@
         )
         for record_id, change in ordered:
             local_done = change.sent >= limit or (
-                change.received_copies >= HEARD_ENOUGH and not ring.whole
+                change.received_copies >= MAX_RECEIVED_COPIES and not ring.whole
             )
             remote_done = (
                 change.sender_draw >= ring.carried_share or change.sent_remote >= ring.far_domains
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -12,7 +12,7 @@
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
 from bramleycrank.daemon.far_contact import CUT_SILENCE_S
 from bramleycrank.membership import MembershipConfig
-from bramleycrank.membership.gossip import HEARD_ENOUGH, GossipQueue
+from bramleycrank.membership.gossip import MAX_RECEIVED_COPIES, GossipQueue
 from bramleycrank.membership.peer_selection import CARRIERS, PARTNERS, Ring, spread_sample
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
@@ -146,7 +146,7 @@
         queue = GossipQueue(f"vm-{seed}")
         queue.add("vm/x", (1, 1, 0, 0), 60)
         assert queue.take(ring, 1000, is_remote=False) == ["vm/x"]
-        for _ in range(HEARD_ENOUGH):
+        for _ in range(MAX_RECEIVED_COPIES):
             queue.hear("vm/x")
         assert not queue.take(ring, 1000, is_remote=False)
         sent_counts[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
