--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -70,7 +70,7 @@
         sender_draw = xxhash.xxh64_intdigest(f"{self._vm_id}\n{record_id}\n{key}".encode()) / 2**64
         self._changes[record_id] = _Change(key, size_bytes, urgent, sender_draw)
 
-    def hear(self, record_id: str) -> None:
+    def count_received_copy(self, record_id: str) -> None:
         """Count a received copy of a change that this VM already has."""
         change = self._changes.get(record_id)
         if change is not None:
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -239,7 +239,7 @@
     def _store(self, record: TargetRecord, now: float, *, spread: bool = True) -> list[Action]:
         if not self._table.put(record, now):
             if self._table.key(record.target_id) == target_key(record):
-                self.queue.hear(f"target/{record.target_id}")
+                self.queue.count_received_copy(f"target/{record.target_id}")
             return []
         target_id = record.target_id
         stored = self._table.get(target_id)
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -107,7 +107,7 @@
             actions += self.merge_vm(message.sender, now)
         for record in message.vms:
             if self.vms.get(record.vm_id) == record:
-                self.queue.hear(f"vm/{record.vm_id}")
+                self.queue.count_received_copy(f"vm/{record.vm_id}")
             actions += self.merge_vm(record, now, spread=spread)
         return [*actions, *self.registry.merge(message.targets, now, spread=spread)]
 
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -147,7 +147,7 @@
         queue.add("vm/x", (1, 1, 0, 0), 60)
         assert queue.take(ring, 1000, is_remote=False) == ["vm/x"]
         for _ in range(MAX_RECEIVED_COPIES):
-            queue.hear("vm/x")
+            queue.count_received_copy("vm/x")
         assert not queue.take(ring, 1000, is_remote=False)
         sent_counts[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
         assert not len(queue)
