--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -83,7 +83,7 @@
             self._remove_gone_vms()
         if action.fanout:
             near = self._view.vms.ring().near
-            peers = near if action.near_only else peers
+            peers = near if action.own_domain_only else peers
             peers = spread_sample(local, peers, action.fanout, self._rng)
         else:
             peers = direct_receivers(local, peers, self._rng)
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -201,7 +201,7 @@
         if known.state == TARGET_STATE_LEAVING:
             return []
         leaving = _ended_record(known, TARGET_STATE_LEAVING, self._vm_id)
-        push = PushRecords((leaving,), fanout=FORWARD_FANOUT, near_only=True)
+        push = PushRecords((leaving,), fanout=FORWARD_FANOUT, own_domain_only=True)
         return [*self._store(leaving, now), push]
 
     def merge(
@@ -233,7 +233,9 @@
             if changes and was_usable and record.state == TARGET_STATE_LEAVING:
                 to_forward.append(record)
         if to_forward:
-            actions.append(PushRecords(tuple(to_forward), fanout=FORWARD_FANOUT, near_only=True))
+            actions.append(
+                PushRecords(tuple(to_forward), fanout=FORWARD_FANOUT, own_domain_only=True)
+            )
         return actions
 
     def _store(self, record: TargetRecord, now: float, *, spread: bool = True) -> list[Action]:
--- a/bramleycrank/membership/types.py
+++ b/bramleycrank/membership/types.py
@@ -137,7 +137,7 @@
 
     records: tuple[target_pb2.TargetRecord, ...]
     fanout: int = 0
-    near_only: bool = False
+    own_domain_only: bool = False
 
 
 Action: TypeAlias = SendProbe | RelayProbe | SendSync | VmChanged | TargetChanged | PushRecords
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -214,10 +214,10 @@
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
         return self._pusher.is_spreading(target_id)
 
-    def sample(self, count: int, *, near_only: bool) -> list[str]:
+    def sample(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
-        peers = vms.ring().near if near_only else vms.peers()
+        peers = vms.ring().near if own_domain_only else vms.peers()
         return [address_of(record) for record in spread_sample(self.local, peers, count, self._rng)]
 
     def is_far(self, address: str) -> bool:
