--- a/bramleycrank/state/claims.py
+++ b/bramleycrank/state/claims.py
@@ -150,7 +150,7 @@
             if kept_keys:
                 self._buckets[bucket] = kept_keys
 
-    def wanted_floor(self, now_ms: int) -> int | None:
+    def next_floor_ms(self, now_ms: int) -> int | None:
         """Return the floor that retention and memory limits require; ``None`` if unchanged.
 
         Retention never raises the floor to less than one retention time before the newest claim: a
--- a/bramleycrank/state/replicated.py
+++ b/bramleycrank/state/replicated.py
@@ -89,7 +89,7 @@
             Unix time of the leader in milliseconds. The floor prevents repeated execution even if
             this clock is wrong; the clock only affects how long answers are kept.
         """
-        floor_ms = self.claims.wanted_floor(now_ms)
+        floor_ms = self.claims.next_floor_ms(now_ms)
         if floor_ms is None:
             return None
         return Command(claim_floor=ClaimFloor(floor_ms=floor_ms))
--- a/tests/test_state_replicated.py
+++ b/tests/test_state_replicated.py
@@ -238,9 +238,9 @@
     for issued in (1, CLAIM_RETENTION_MS, 2 * CLAIM_RETENTION_MS):
         claim_id = pb.ClaimId(service="s", request_key="k", issued_at_ms=issued)
         table.open(pb.ClaimOpen(id=claim_id, attempt_id="a", vm_id="v"))
-    assert table.wanted_floor(CLAIM_RETENTION_MS) is None
-    assert table.wanted_floor(2 * CLAIM_RETENTION_MS) == CLAIM_RETENTION_MS
-    assert table.wanted_floor(50 * CLAIM_RETENTION_MS) == CLAIM_RETENTION_MS
+    assert table.next_floor_ms(CLAIM_RETENTION_MS) is None
+    assert table.next_floor_ms(2 * CLAIM_RETENTION_MS) == CLAIM_RETENTION_MS
+    assert table.next_floor_ms(50 * CLAIM_RETENTION_MS) == CLAIM_RETENTION_MS
     table.raise_floor(CLAIM_RETENTION_MS)
     assert len(table) == 2
-    assert table.wanted_floor(2 * CLAIM_RETENTION_MS) is None
+    assert table.next_floor_ms(2 * CLAIM_RETENTION_MS) is None
