--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -277,7 +277,7 @@
         Load pattern: after a loss of power all targets report anew, and callers wait for them.
         """
         await asyncio.sleep(NEW_BATCH_S)
-        self._execute(self.registry.push_new())
+        self._execute(self.registry.push_new_targets())
 
     async def leave_target(self, request: LeaveRequest) -> LeaveReply:
         """Answer `Registry.Leave` once the other VMs acknowledged the record or 0.5 s passed.
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -298,7 +298,7 @@
         """Whether targets that are new on this VM are still to be pushed to other VMs."""
         return bool(self._new_targets)
 
-    def push_new(self) -> list[Action]:
+    def push_new_targets(self) -> list[Action]:
         """Return the push of all targets that are new since the last call."""
         new = tuple(self._new_targets.values())
         self._new_targets.clear()
--- a/tests/test_membership_new_targets.py
+++ b/tests/test_membership_new_targets.py
@@ -22,7 +22,7 @@
 
 
 def pushes(registry: TargetRegistry, now: float) -> list[PushRecords]:
-    return [action for action in registry.push_new() if isinstance(action, PushRecords)]
+    return [action for action in registry.push_new_targets() if isinstance(action, PushRecords)]
 
 
 def test_targets_new_to_their_home_vm_are_pushed_in_one_push():
