--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -264,10 +264,10 @@
             raise Refused(
                 "the VM is joining", outcome=Outcome.NOT_RUN, retry_after_ms=JOIN_RETRY_MS
             )
-        pushing = self.registry.has_new
+        pushing = self.registry.has_new_targets
         reply, actions = self.registry.announce(request, self._clock())
         self._execute(actions)
-        if self.registry.has_new and not pushing:
+        if self.registry.has_new_targets and not pushing:
             self._spawn(self._push_new())
         return reply
 
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -294,7 +294,7 @@
         return actions
 
     @property
-    def has_new(self) -> bool:
+    def has_new_targets(self) -> bool:
         """Whether targets that are new on this VM are still to be pushed to other VMs."""
         return bool(self._new_targets)
 
