--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -7,7 +7,7 @@
 import attrs
 import xxhash
 
-from bramleycrank.membership.peer_selection import Ring
+from bramleycrank.membership.peer_selection import PeerSelection
 from bramleycrank.membership.records import Key
 
 MAX_RECEIVED_COPIES = 3
@@ -80,12 +80,12 @@
         """Remove the change of a record."""
         self._changes.pop(record_id, None)
 
-    def take(self, ring: Ring, max_bytes: int, *, is_remote: bool) -> list[str]:
+    def take(self, ring: PeerSelection, max_bytes: int, *, is_remote: bool) -> list[str]:
         """Return the ids of the records to put into one message and count them as sent.
 
         Parameters
         ----------
-        ring : Ring
+        ring : PeerSelection
             The VMs that this VM probes.
         max_bytes : int
             Limit for the sum of the record sizes. A record that is larger is sent alone.
--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Ring:
+class PeerSelection:
     """The VMs that a VM probes and exchanges records with.
 
     Parameters
@@ -53,7 +53,7 @@
     whole: bool
 
     @classmethod
-    def from_peers(cls, local: VmRecord, peers: Iterable[VmRecord]) -> Ring:
+    def from_peers(cls, local: VmRecord, peers: Iterable[VmRecord]) -> PeerSelection:
         """Choose partners by rendezvous hashing, which spreads the probes evenly over the VMs."""
         near, others = split_by_domain(local, peers)
         far = [
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterator
 
-from bramleycrank.membership.peer_selection import Ring
+from bramleycrank.membership.peer_selection import PeerSelection
 from bramleycrank.membership.records import (
     GONE_STATES,
     LIVE_STATES,
@@ -48,7 +48,7 @@
         self._former_addresses: dict[str, str] = {}
         # Cached because they are read for each message; rebuilt after a change.
         self._live: list[VmRecord] | None = None
-        self._ring: Ring | None = None
+        self._ring: PeerSelection | None = None
         self._domains: dict[str, str] = {}  # address of a live VM to its domain
 
     @property
@@ -79,10 +79,10 @@
         """Return the live records of the other VMs."""
         return [rec for rec in self.live() if rec.vm_id != self.local_id]
 
-    def ring(self) -> Ring:
+    def ring(self) -> PeerSelection:
         """Return the VMs that this VM probes and exchanges records with."""
         if self._ring is None:
-            self._ring = Ring.from_peers(self.local, self.peers())
+            self._ring = PeerSelection.from_peers(self.local, self.peers())
         return self._ring
 
     def domain_of(self, address: str) -> str:
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -13,7 +13,7 @@
 from bramleycrank.daemon.far_contact import CUT_SILENCE_S
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.membership.gossip import MAX_RECEIVED_COPIES, GossipQueue
-from bramleycrank.membership.peer_selection import CARRIERS, PARTNERS, Ring, spread_sample
+from bramleycrank.membership.peer_selection import CARRIERS, PARTNERS, PeerSelection, spread_sample
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
 
@@ -124,7 +124,9 @@
     partner_counts = Counter(
         rec.vm_id
         for local in vms
-        for rec in Ring.from_peers(local, [other for other in vms if other is not local]).far
+        for rec in PeerSelection.from_peers(
+            local, [other for other in vms if other is not local]
+        ).far
     )
     assert (
         len(partner_counts) == len(vms) and sum(partner_counts.values()) == len(vms) * 4 * PARTNERS
@@ -133,14 +135,14 @@
 
 def test_in_a_small_group_a_vm_probes_all_others():
     vms = make_records(PARTNERS, "abc")
-    ring = Ring.from_peers(vms[0], vms[1:])
+    ring = PeerSelection.from_peers(vms[0], vms[1:])
     assert ring.whole and len(ring.members) == len(vms) - 1
 
 
 def test_a_change_received_from_others_is_sent_less_but_still_to_other_domains():
     """Load pattern: hundreds of VMs join at once, and each sends the records of all others."""
     vms = make_records(40)
-    ring = Ring.from_peers(vms[0], vms[1:])
+    ring = PeerSelection.from_peers(vms[0], vms[1:])
     sent_counts = Counter()
     for seed in range(200):
         queue = GossipQueue(f"vm-{seed}")
