--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -21,7 +21,7 @@
 PARTNERS = 4
 """VMs of each other domain that a VM probes; of a smaller domain it probes all."""
 
-CARRIERS = 4
+CROSS_DOMAIN_SENDERS = 4
 """Mean number of VMs of a domain that send a change to other domains; one of them may be down."""
 
 DIRECT_MEMBERS = 8
@@ -72,7 +72,7 @@
     @property
     def carried_share(self) -> float:
         """Probability that this VM sends a change to other domains."""
-        return min(1.0, CARRIERS / (len(self.near) + 1))
+        return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.near) + 1))
 
 
 def split_by_domain(
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -13,7 +13,12 @@
 from bramleycrank.daemon.far_contact import CUT_SILENCE_S
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.membership.gossip import MAX_RECEIVED_COPIES, GossipQueue
-from bramleycrank.membership.peer_selection import CARRIERS, PARTNERS, PeerSelection, spread_sample
+from bramleycrank.membership.peer_selection import (
+    CROSS_DOMAIN_SENDERS,
+    PARTNERS,
+    PeerSelection,
+    spread_sample,
+)
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
 
@@ -56,7 +61,9 @@
         count_cross_domain_copies(make_fleet(10)),
         count_cross_domain_copies(make_fleet(24)),
     )
-    bound = 3 * 2 * CARRIERS * 3  # domains, other domains, senders, factor for random variation
+    bound = (
+        3 * 2 * CROSS_DOMAIN_SENDERS * 3
+    )  # domains, other domains, senders, factor for random variation
     assert small <= bound and large <= bound
 
 
@@ -154,7 +161,11 @@
         sent_counts[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
         assert not len(queue)
     assert set(sent_counts) == {0, ring.far_domains}
-    assert 0.5 * CARRIERS < sent_counts[ring.far_domains] / 200 * 40 < 2 * CARRIERS
+    assert (
+        0.5 * CROSS_DOMAIN_SENDERS
+        < sent_counts[ring.far_domains] / 200 * 40
+        < 2 * CROSS_DOMAIN_SENDERS
+    )
 
 
 def test_a_sample_is_spread_over_the_domains():
