--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -18,7 +18,7 @@
 
 from bramleycrank.proto.peer_pb2 import VmRecord
 
-PARTNERS = 4
+PARTNERS_PER_DOMAIN = 4
 """VMs of each other domain that a VM probes; of a smaller domain it probes all."""
 
 CROSS_DOMAIN_SENDERS = 4
@@ -59,7 +59,9 @@
         far = [
             record
             for members in others
-            for record in sorted(members, key=lambda rec: _rendezvous_rank(local, rec))[:PARTNERS]
+            for record in sorted(members, key=lambda rec: _rendezvous_rank(local, rec))[
+                :PARTNERS_PER_DOMAIN
+            ]
         ]
         whole = len(far) == sum(map(len, others))
         return cls(tuple(near), tuple(far), len(others), whole)
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -15,7 +15,7 @@
 from bramleycrank.membership.gossip import MAX_RECEIVED_COPIES, GossipQueue
 from bramleycrank.membership.peer_selection import (
     CROSS_DOMAIN_SENDERS,
-    PARTNERS,
+    PARTNERS_PER_DOMAIN,
     PeerSelection,
     spread_sample,
 )
@@ -136,12 +136,13 @@
         ).far
     )
     assert (
-        len(partner_counts) == len(vms) and sum(partner_counts.values()) == len(vms) * 4 * PARTNERS
+        len(partner_counts) == len(vms)
+        and sum(partner_counts.values()) == len(vms) * 4 * PARTNERS_PER_DOMAIN
     )
 
 
 def test_in_a_small_group_a_vm_probes_all_others():
-    vms = make_records(PARTNERS, "abc")
+    vms = make_records(PARTNERS_PER_DOMAIN, "abc")
     ring = PeerSelection.from_peers(vms[0], vms[1:])
     assert ring.whole and len(ring.members) == len(vms) - 1
 
