--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -24,7 +24,7 @@
 CROSS_DOMAIN_SENDERS = 4
 """Mean number of VMs of a domain that send a change to other domains; one of them may be down."""
 
-DIRECT_MEMBERS = 8
+MAX_DIRECT_PUSH_DOMAIN_SIZE = 8
 """Largest size of another domain for which a leaving target is pushed to each of its VMs."""
 
 RELAYS = 3
@@ -92,7 +92,7 @@
     """Return the VMs to push a leaving target to; they forward it in their domains."""
     near, others = split_by_domain(local, peers)
     far = (
-        members if len(members) <= DIRECT_MEMBERS else rng.sample(members, RELAYS)
+        members if len(members) <= MAX_DIRECT_PUSH_DOMAIN_SIZE else rng.sample(members, RELAYS)
         for members in others
     )
     return [*near, *(record for members in far for record in members)]
