--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -27,7 +27,7 @@
 MAX_DIRECT_PUSH_DOMAIN_SIZE = 8
 """Largest size of another domain for which a leaving target is pushed to each of its VMs."""
 
-RELAYS = 3
+RELAYS_PER_DOMAIN = 3
 """VMs of a larger domain to which a leaving target is pushed; they forward it in their domain."""
 
 
@@ -92,7 +92,9 @@
     """Return the VMs to push a leaving target to; they forward it in their domains."""
     near, others = split_by_domain(local, peers)
     far = (
-        members if len(members) <= MAX_DIRECT_PUSH_DOMAIN_SIZE else rng.sample(members, RELAYS)
+        members
+        if len(members) <= MAX_DIRECT_PUSH_DOMAIN_SIZE
+        else rng.sample(members, RELAYS_PER_DOMAIN)
         for members in others
     )
     return [*near, *(record for members in far for record in members)]
