--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -28,7 +28,7 @@
 # Upper bound of the random time that a VM waits for a peer of its own domain to have a revision
 # before it fetches the revision from another domain. In a domain of many VMs one of them draws a
 # time near 0 and fetches at once.
-FAR_WAIT_S = 0.5
+REMOTE_FETCH_WAIT_S = 0.5
 
 
 @attrs.frozen
@@ -324,7 +324,7 @@
         if not self._ready or not self._hints.is_far(address):
             return True
         if self._remote_fetch_at is None:
-            self._remote_fetch_at = now + self._rng.uniform(0, FAR_WAIT_S)
+            self._remote_fetch_at = now + self._rng.uniform(0, REMOTE_FETCH_WAIT_S)
         return now >= self._remote_fetch_at
 
     def _start_fetch(
