--- a/bramleycrank/membership/anti_entropy.py
+++ b/bramleycrank/membership/anti_entropy.py
@@ -92,7 +92,9 @@
         if exchange.batch:
             # Unadvertised records are listed too; the peer would otherwise send them in every
             # round.
-            request.digests.extend(_digests(self._entries(now, exchange.batch, held=True)))
+            request.digests.extend(
+                _digests(self._entries(now, exchange.batch, include_unadvertised=True))
+            )
         else:
             request.digest_hash = _total_hash(self._entries(now))
         omitted = self._view.add_records(request.gossip, exchange.wanted, now)
@@ -190,7 +192,7 @@
         """Defer the buckets whose digests do not fit into one message, but keep at least one."""
         digest_count = 0
         for position, bucket in enumerate(exchange.batch):
-            digest_count += len(self._entries(now, [bucket], held=True))
+            digest_count += len(self._entries(now, [bucket], include_unadvertised=True))
             if digest_count > MAX_DIGESTS and position:
                 exchange.remaining.extend(exchange.batch[position:])
                 del exchange.batch[position:]
@@ -201,16 +203,24 @@
         self._open.pop(sync_id, None)
 
     def _entries(
-        self, now: float, buckets: Sequence[int] | None = None, *, held: bool = False
+        self,
+        now: float,
+        buckets: Sequence[int] | None = None,
+        *,
+        include_unadvertised: bool = False,
     ) -> Entries:
         """Return state and key of the records in the given buckets, or in all."""
         selected = None if buckets is None else set(buckets)
         entries = {
             record_id: (state, key)
-            for record_id, state, key in self._view.vms.entries(now, held=held)
+            for record_id, state, key in self._view.vms.entries(
+                now, include_unadvertised=include_unadvertised
+            )
             if selected is None or bucket_of(record_id) in selected
         }
-        for record_id, state, key in self._view.registry.entries(now, selected, held=held):
+        for record_id, state, key in self._view.registry.entries(
+            now, selected, include_unadvertised=include_unadvertised
+        ):
             entries[record_id] = state, key
         return entries
 
--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -36,8 +36,8 @@
     one.
 
     In a group with large domains, a VM stops sending a change within its domain after it received
-    ``MAX_RECEIVED_COPIES`` copies, because most of the domain has it then. Only a few VMs of each domain
-    send a change to other domains.
+    ``MAX_RECEIVED_COPIES`` copies, because most of the domain has it then. Only a few VMs of each
+    domain send a change to other domains.
 
     Parameters
     ----------
@@ -80,20 +80,24 @@
         """Remove the change of a record."""
         self._changes.pop(record_id, None)
 
-    def take(self, ring: PeerSelection, max_bytes: int, *, is_remote: bool) -> list[str]:
+    def select(
+        self, selection: PeerSelection, max_bytes: int, *, to_other_domain: bool
+    ) -> list[str]:
         """Return the ids of the records to put into one message and count them as sent.
 
         Parameters
         ----------
-        ring : PeerSelection
+        selection : PeerSelection
             The VMs that this VM probes.
         max_bytes : int
             Limit for the sum of the record sizes. A record that is larger is sent alone.
-        far : bool
+        to_other_domain : bool
             Whether the receiver is in another failure domain.
         """
-        limit = max_transmissions(len(ring.members if ring.whole else ring.near) + 1)
-        is_cross_domain = is_remote and not ring.whole
+        limit = max_transmissions(
+            len(selection.members if selection.is_complete else selection.near) + 1
+        )
+        is_cross_domain = to_other_domain and not selection.is_complete
         selected: list[str] = []
         free_bytes = max_bytes
         ordered = sorted(
@@ -101,12 +105,13 @@
         )
         for record_id, change in ordered:
             local_done = change.sent >= limit or (
-                change.received_copies >= MAX_RECEIVED_COPIES and not ring.whole
+                change.received_copies >= MAX_RECEIVED_COPIES and not selection.is_complete
             )
             remote_done = (
-                change.sender_draw >= ring.carried_share or change.sent_remote >= ring.far_domains
+                change.sender_draw >= selection.cross_domain_sender_share
+                or change.sent_remote >= selection.remote_domain_count
             )
-            if local_done and (ring.whole or remote_done):
+            if local_done and (selection.is_complete or remote_done):
                 del self._changes[record_id]
                 continue
             done = remote_done if is_cross_domain else local_done
@@ -114,7 +119,7 @@
                 continue
             selected.append(record_id)
             free_bytes -= change.size_bytes
-            change.sent_remote += is_remote
+            change.sent_remote += to_other_domain
             change.sent += not is_cross_domain
             if free_bytes <= 0:
                 break
--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -41,30 +41,30 @@
         All other VMs of the own domain.
     far : tuple of VmRecord
         Partners in other domains.
-    far_domains : int
+    remote_domain_count : int
         Number of other domains.
-    whole : bool
+    is_complete : bool
         Whether all VMs are included.
     """
 
     near: tuple[VmRecord, ...]
     far: tuple[VmRecord, ...]
-    far_domains: int
-    whole: bool
+    remote_domain_count: int
+    is_complete: bool
 
     @classmethod
     def from_peers(cls, local: VmRecord, peers: Iterable[VmRecord]) -> PeerSelection:
         """Choose partners by rendezvous hashing, which spreads the probes evenly over the VMs."""
-        near, others = split_by_domain(local, peers)
-        far = [
+        local_peers, others = split_by_domain(local, peers)
+        remote_peers = [
             record
             for members in others
             for record in sorted(members, key=lambda rec: _rendezvous_rank(local, rec))[
                 :PARTNERS_PER_DOMAIN
             ]
         ]
-        whole = len(far) == sum(map(len, others))
-        return cls(tuple(near), tuple(far), len(others), whole)
+        is_complete = len(remote_peers) == sum(map(len, others))
+        return cls(tuple(local_peers), tuple(remote_peers), len(others), is_complete)
 
     @property
     def members(self) -> tuple[VmRecord, ...]:
@@ -72,7 +72,7 @@
         return self.near + self.far
 
     @property
-    def carried_share(self) -> float:
+    def cross_domain_sender_share(self) -> float:
         """Probability that this VM sends a change to other domains."""
         return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.near) + 1))
 
@@ -84,28 +84,28 @@
     domains: dict[str, list[VmRecord]] = defaultdict(list)
     for record in peers:
         domains[record.domain].append(record)
-    near = domains.pop(local.domain, [])
-    return near, list(domains.values())
+    local_peers = domains.pop(local.domain, [])
+    return local_peers, list(domains.values())
 
 
 def direct_receivers(local: VmRecord, peers: Iterable[VmRecord], rng: Random) -> list[VmRecord]:
     """Return the VMs to push a leaving target to; they forward it in their domains."""
-    near, others = split_by_domain(local, peers)
-    far = (
+    local_peers, others = split_by_domain(local, peers)
+    remote_peers = (
         members
         if len(members) <= MAX_DIRECT_PUSH_DOMAIN_SIZE
         else rng.sample(members, RELAYS_PER_DOMAIN)
         for members in others
     )
-    return [*near, *(record for members in far for record in members)]
+    return [*local_peers, *(record for members in remote_peers for record in members)]
 
 
 def spread_sample(
     local: VmRecord, peers: Iterable[VmRecord], count: int, rng: Random
 ) -> list[VmRecord]:
     """Return random VMs, spread over the domains as evenly as the domain sizes allow."""
-    near, others = split_by_domain(local, peers)
-    groups = [rng.sample(members, len(members)) for members in (near, *others)]
+    local_peers, others = split_by_domain(local, peers)
+    groups = [rng.sample(members, len(members)) for members in (local_peers, *others)]
     rng.shuffle(groups)
     rounds = max(map(len, groups), default=0)
     interleaved = (
--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -102,14 +102,14 @@
         another domain, so that each VM receives a message from other domains about every two
         periods.
         """
-        ring = self._view.vms.ring()
-        if ring.whole or not ring.far:
-            return self._pop_live_member(self._order, ring.members)
+        selection = self._view.vms.selection()
+        if selection.is_complete or not selection.far:
+            return self._pop_live_member(self._order, selection.members)
         self._is_remote_turn = not self._is_remote_turn
         if self._is_remote_turn:
-            return self._pop_live_member(self._remote_order, ring.far)
-        return self._pop_live_member(self._order, ring.near) or self._pop_live_member(
-            self._remote_order, ring.far
+            return self._pop_live_member(self._remote_order, selection.far)
+        return self._pop_live_member(self._order, selection.near) or self._pop_live_member(
+            self._remote_order, selection.far
         )
 
     def _pop_live_member(self, order: list[str], members: tuple[VmRecord, ...]) -> VmRecord | None:
@@ -170,7 +170,7 @@
         target = self._view.vms.get(probe.vm_id)
         if not probe.direct or probe.vm_id != self._awaited or target is None:
             return []
-        relays = [rec for rec in self._view.vms.ring().members if rec.vm_id != probe.vm_id]
+        relays = [rec for rec in self._view.vms.selection().members if rec.vm_id != probe.vm_id]
         count = min(self._view.cfg.indirect_probes, len(relays))
         return [
             self._send(_Probe(probe.vm_id, address_of(relay_vm), direct=False), now, target)
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -82,8 +82,8 @@
         if len(self._outboxes) > 2 * len(peers) + SPARE_OUTBOXES:
             self._remove_gone_vms()
         if action.fanout:
-            near = self._view.vms.ring().near
-            peers = near if action.own_domain_only else peers
+            local_peers = self._view.vms.selection().near
+            peers = local_peers if action.own_domain_only else peers
             peers = spread_sample(local, peers, action.fanout, self._rng)
         else:
             peers = direct_receivers(local, peers, self._rng)
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -329,7 +329,11 @@
         return self._table.outgoing(target_id, now)
 
     def entries(
-        self, now: float, buckets: Iterable[int] | None = None, *, held: bool = False
+        self,
+        now: float,
+        buckets: Iterable[int] | None = None,
+        *,
+        include_unadvertised: bool = False,
     ) -> Iterator[tuple[str, int, Key]]:
         """Yield id, state and key of the records that take part in anti-entropy.
 
@@ -339,10 +343,10 @@
             Current time in seconds.
         buckets : iterable of int, optional
             Digest buckets; all by default.
-        held : bool, optional
+        include_unadvertised : bool, optional
             Whether to include the records that are kept but not advertised.
         """
-        return self._table.entries(now, buckets, held=held)
+        return self._table.entries(now, buckets, include_unadvertised=include_unadvertised)
 
     def dump(self, now: float) -> dict[str, object]:
         """Return the records, the leases and the number of queued changes."""
--- a/bramleycrank/membership/target_table.py
+++ b/bramleycrank/membership/target_table.py
@@ -238,7 +238,11 @@
         return with_age(entry.record, max(0, math.ceil(now - entry.ended_at)))
 
     def entries(
-        self, now: float, buckets: Iterable[int] | None = None, *, held: bool = False
+        self,
+        now: float,
+        buckets: Iterable[int] | None = None,
+        *,
+        include_unadvertised: bool = False,
     ) -> Iterator[tuple[str, int, Key]]:
         """Yield id, state and key of the records that take part in anti-entropy.
 
@@ -248,7 +252,7 @@
             Current time in seconds.
         buckets : iterable of int, optional
             Digest buckets; all by default.
-        held : bool, optional
+        include_unadvertised : bool, optional
             Whether to include the records that are kept but not advertised.
         """
         ids: Iterable[str] = self._entries
@@ -262,7 +266,7 @@
             home = entry.record.home_vm
             if home not in usable_homes:
                 usable_homes[home] = self._is_home_usable(home, now)
-            if held or entry.ended_at is not None or usable_homes[home]:
+            if include_unadvertised or entry.ended_at is not None or usable_homes[home]:
                 yield f"target/{target_id}", entry.record.state, entry.key
 
     def dump(self, now: float) -> dict[str, object]:
--- a/bramleycrank/membership/types.py
+++ b/bramleycrank/membership/types.py
@@ -131,7 +131,7 @@
         Records to send.
     fanout : int
         Number of random VMs to send to; 0 for as many as are needed to reach all VMs.
-    near_only : bool
+    own_domain_only : bool
         Whether to send only to VMs of the own failure domain.
     """
 
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -58,9 +58,9 @@
         peer = self.vms.get(peer_id) if peer_id else None
         if peer is not None and peer.state != VM_STATE_ALIVE:
             message.vms.append(peer)
-        is_remote = peer is not None and peer.domain != self.vms.local.domain
-        record_ids = self.queue.take(
-            self.vms.ring(), self.cfg.max_message_bytes, is_remote=is_remote
+        to_other_domain = peer is not None and peer.domain != self.vms.local.domain
+        record_ids = self.queue.select(
+            self.vms.selection(), self.cfg.max_message_bytes, to_other_domain=to_other_domain
         )
         self.add_records(message, record_ids, now)
         return message
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -125,7 +125,7 @@
         if self._joined:
             jitter = self._rng.uniform(0.9, 1.1)
             self._next_sync_at = now + self._cfg.sync_period_s * jitter
-            peers = [address_of(rec) for rec in self._view.vms.ring().members]
+            peers = [address_of(rec) for rec in self._view.vms.selection().members]
             addresses = self._rng.sample(peers, min(count, len(peers)))
         else:
             self._next_sync_at = now + min(
@@ -217,7 +217,7 @@
     def sample(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
-        peers = vms.ring().near if own_domain_only else vms.peers()
+        peers = vms.selection().near if own_domain_only else vms.peers()
         return [address_of(record) for record in spread_sample(self.local, peers, count, self._rng)]
 
     def is_far(self, address: str) -> bool:
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -48,7 +48,7 @@
         self._former_addresses: dict[str, str] = {}
         # Cached because they are read for each message; rebuilt after a change.
         self._live: list[VmRecord] | None = None
-        self._ring: PeerSelection | None = None
+        self._selection: PeerSelection | None = None
         self._domains: dict[str, str] = {}  # address of a live VM to its domain
 
     @property
@@ -79,11 +79,11 @@
         """Return the live records of the other VMs."""
         return [rec for rec in self.live() if rec.vm_id != self.local_id]
 
-    def ring(self) -> PeerSelection:
+    def selection(self) -> PeerSelection:
         """Return the VMs that this VM probes and exchanges records with."""
-        if self._ring is None:
-            self._ring = PeerSelection.from_peers(self.local, self.peers())
-        return self._ring
+        if self._selection is None:
+            self._selection = PeerSelection.from_peers(self.local, self.peers())
+        return self._selection
 
     def domain_of(self, address: str) -> str:
         """Return the failure domain of a live VM, or an empty string."""
@@ -121,7 +121,7 @@
         copy.CopyFrom(record)
         self._records[record.vm_id] = copy
         self._keys[record.vm_id] = key
-        self._live = self._ring = None
+        self._live = self._selection = None
         self._update_deadlines(copy, now)
         return True
 
@@ -190,15 +190,17 @@
             address: vm_id for address, vm_id in addresses.items() if address not in self._domains
         }
 
-    def entries(self, now: float, *, held: bool = False) -> Iterator[tuple[str, int, Key]]:
+    def entries(
+        self, now: float, *, include_unadvertised: bool = False
+    ) -> Iterator[tuple[str, int, Key]]:
         """Yield id, state and key of the records that take part in anti-entropy.
 
         Dead and left records take part for half of their retention time only, so that all VMs still
-        have them when the last VM stops advertising them. `held` includes the others.
+        have them when the last VM stops advertising them. `include_unadvertised` adds the others.
         """
         limit = now - self._cfg.record_retention_s / 2
         for vm_id, record in self._records.items():
-            if held or self._gone_at.get(vm_id, now) > limit:
+            if include_unadvertised or self._gone_at.get(vm_id, now) > limit:
                 yield f"vm/{vm_id}", record.state, self._keys[vm_id]
 
     def dump(self, now: float) -> dict[str, object]:
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -143,28 +143,30 @@
 
 def test_in_a_small_group_a_vm_probes_all_others():
     vms = make_records(PARTNERS_PER_DOMAIN, "abc")
-    ring = PeerSelection.from_peers(vms[0], vms[1:])
-    assert ring.whole and len(ring.members) == len(vms) - 1
+    selection = PeerSelection.from_peers(vms[0], vms[1:])
+    assert selection.is_complete and len(selection.members) == len(vms) - 1
 
 
 def test_a_change_received_from_others_is_sent_less_but_still_to_other_domains():
     """Load pattern: hundreds of VMs join at once, and each sends the records of all others."""
     vms = make_records(40)
-    ring = PeerSelection.from_peers(vms[0], vms[1:])
+    selection = PeerSelection.from_peers(vms[0], vms[1:])
     sent_counts = Counter()
     for seed in range(200):
         queue = GossipQueue(f"vm-{seed}")
         queue.add("vm/x", (1, 1, 0, 0), 60)
-        assert queue.take(ring, 1000, is_remote=False) == ["vm/x"]
+        assert queue.select(selection, 1000, to_other_domain=False) == ["vm/x"]
         for _ in range(MAX_RECEIVED_COPIES):
             queue.count_received_copy("vm/x")
-        assert not queue.take(ring, 1000, is_remote=False)
-        sent_counts[sum(bool(queue.take(ring, 1000, is_remote=True)) for _ in range(9))] += 1
+        assert not queue.select(selection, 1000, to_other_domain=False)
+        sent_counts[
+            sum(bool(queue.select(selection, 1000, to_other_domain=True)) for _ in range(9))
+        ] += 1
         assert not len(queue)
-    assert set(sent_counts) == {0, ring.far_domains}
+    assert set(sent_counts) == {0, selection.remote_domain_count}
     assert (
         0.5 * CROSS_DOMAIN_SENDERS
-        < sent_counts[ring.far_domains] / 200 * 40
+        < sent_counts[selection.remote_domain_count] / 200 * 40
         < 2 * CROSS_DOMAIN_SENDERS
     )
 
@@ -193,9 +195,11 @@
     def execute(self, vm, actions):
         super().execute(vm, actions)
         if any(isinstance(action, ConfigInForce) for action in actions):
-            near = [v for v in self.vms if self.domains[v.address] == self.domains[vm.address]]
+            local_peers = [
+                v for v in self.vms if self.domains[v.address] == self.domains[vm.address]
+            ]
             status = vm.follower.status(vm.clock(self.time))
-            for other in self.rng.sample(near, RELAY_FANOUT):
+            for other in self.rng.sample(local_peers, RELAY_FANOUT):
                 self.schedule_delivery(lambda o=other: self.deliver_status(o, vm, status))
 
     def deliver_status(self, vm, peer, status):
