--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -264,10 +264,10 @@
             raise Refused(
                 "the VM is joining", outcome=Outcome.NOT_RUN, retry_after_ms=JOIN_RETRY_MS
             )
-        pushing = self.registry.has_new
+        pushing = self.registry.has_new_targets
         reply, actions = self.registry.announce(request, self._clock())
         self._execute(actions)
-        if self.registry.has_new and not pushing:
+        if self.registry.has_new_targets and not pushing:
             self._spawn(self._push_new())
         return reply
 
@@ -277,7 +277,7 @@
         Load pattern: after a loss of power all targets report anew, and callers wait for them.
         """
         await asyncio.sleep(NEW_BATCH_S)
-        self._execute(self.registry.push_new())
+        self._execute(self.registry.push_new_targets())
 
     async def leave_target(self, request: LeaveRequest) -> LeaveReply:
         """Answer `Registry.Leave` once the other VMs acknowledged the record or 0.5 s passed.
@@ -292,9 +292,9 @@
                 await asyncio.wait_for(known.wait(), LEAVE_WAIT_S)
         return LeaveReply()
 
-    def note_leaving(self, target_id: str, incarnation: int) -> None:
+    def mark_leaving(self, target_id: str, incarnation: int) -> None:
         """Record that a target itself said that it leaves."""
-        self._execute(self.registry.note_leaving(target_id, incarnation, self._clock()))
+        self._execute(self.registry.mark_leaving(target_id, incarnation, self._clock()))
 
     # Execution of actions.
 
