--- a/bramleycrank/daemon/claim_floors.py
+++ b/bramleycrank/daemon/claim_floors.py
@@ -1,4 +1,4 @@
-"""Moves the floor of claims, so that old ones can be dropped."""
+"""Advances the claim floor, below which the replicated state drops claims."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 log = logging.getLogger(__name__)
 
-# How often the leader checks whether claims can be dropped, in seconds.
 FLOOR_PERIOD_S = 10.0
+"""Interval at which the leader checks whether claims can be dropped, in seconds."""
 
 
 class Consensus(Protocol):
-    """The part of this VM in the log."""
+    """The consensus node of this VM."""
 
     @property
     def state(self) -> ReplicatedState | None:
-        """Replicated state as applied here."""
+        """Replicated state as applied on this VM; None if there is none."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether this VM believes that it leads."""
+        """Whether this VM considers itself the leader."""
 
     async def propose_local(
         self, proposal_id: str, command: log_pb2.Command, timeout_s: float
@@ -36,12 +36,12 @@
 
 
 class ClaimFloors:
-    """Proposes to drop old claims while this VM leads.
+    """Proposes periodically to drop old claims while this VM is the leader.
 
     Parameters
     ----------
     consensus : Consensus
-        This VM's part in the log.
+        The consensus node of this VM.
     """
 
     def __init__(self, consensus: Consensus) -> None:
@@ -49,11 +49,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to propose."""
+        """Start the periodic proposals."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Stop the periodic proposals."""
         if self._task is not None:
             self._task.cancel()
 
@@ -63,9 +63,9 @@
             try:
                 await self._propose()
             except BramleycrankError as exc:
-                log.info("consensus: floor of claims not moved: %s", exc)
+                log.info("consensus: claim floor was not advanced: %s", exc)
             except Exception:
-                log.exception("consensus: floor of claims not moved")
+                log.exception("consensus: claim floor was not advanced")
 
     async def _propose(self) -> None:
         state = self._consensus.state
--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -1,4 +1,4 @@
-"""Addresses of VMs, kept up to date by gossip."""
+"""Directory of VM addresses, updated by gossip."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from bramleycrank.proto import peer_pb2
 from bramleycrank.transport.peer_client import PeerClients
 
-GONE = (peer_pb2.VM_STATE_DEAD, peer_pb2.VM_STATE_LEFT)
+DEPARTED_STATES = (peer_pb2.VM_STATE_DEAD, peer_pb2.VM_STATE_LEFT)
 
 
 class PeerDirectory:
-    """Finds VMs by id.
+    """Looks up the addresses of VMs.
 
     Parameters
     ----------
     membership : MembershipController
-        Source of the records.
+        Source of the VM records.
     seeds : sequence of str
-        Addresses that serve until gossip knows more.
+        Addresses to use until gossip has delivered records of other VMs.
     clients : PeerClients
-        Connections to other VMs; those to VMs that are gone are closed.
+        Connections to other VMs; those to dead VMs and VMs that left are closed.
     """
 
     def __init__(
@@ -31,8 +31,8 @@
         self._clients = clients
         self._membership = membership
         self._seeds = list(seeds)
-        self._own = membership.core.local
-        # A lookup runs for each consensus message, so the records are not searched.
+        self._own_record = membership.core.local
+        # Index by VM id, because each consensus message needs a lookup.
         self._by_vm: dict[str, str] = {}
         self.leader_address: Callable[[], str] = str
         membership.subscribe_vms(self._on_vm)
@@ -42,13 +42,15 @@
         return self._by_vm.get(vm_id, "")
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Take other first contacts."""
+        """Replace the seeds."""
         self._seeds = list(seeds)
 
     def addresses(self) -> Sequence[str]:
         """Return the addresses of VMs that may be alive, without this one."""
         records = self._membership.vms()
-        known = [format_address(r.host, r.port) for r in records if r.vm_id != self._own.vm_id]
+        known = [
+            format_address(r.host, r.port) for r in records if r.vm_id != self._own_record.vm_id
+        ]
         return known or self._seeds
 
     def spread_sample(self, count: int) -> Sequence[str]:
@@ -56,11 +58,11 @@
         return self._membership.core.sample(count, near_only=False) or self._seeds
 
     def near_sample(self, count: int) -> Sequence[str]:
-        """Return the addresses of some VMs of the own failure domain."""
+        """Return the addresses of some VMs in the own failure domain."""
         return self._membership.core.sample(count, near_only=True)
 
     def is_far(self, address: str) -> bool:
-        """Return whether a VM is in another failure domain; an unknown one counts as near."""
+        """Return whether a VM is in another failure domain; an unknown VM counts as local."""
         return self._membership.core.is_far(address)
 
     def self_record(self) -> peer_pb2.VmRecord:
@@ -69,10 +71,11 @@
 
     def _on_vm(self, record: peer_pb2.VmRecord) -> None:
         address = format_address(record.host, record.port)
-        if record.state in GONE:
-            # The address in the log may still be right, for example if only gossip is cut.
+        if record.state in DEPARTED_STATES:
+            # Consensus falls back to the address in the log, which may still be reachable if only
+            # gossip is partitioned.
             self._by_vm.pop(record.vm_id, None)
-            if record.vm_id != self._own.vm_id:
+            if record.vm_id != self._own_record.vm_id:
                 self._clients.forget(address)
         else:
             self._by_vm[record.vm_id] = address
--- a/bramleycrank/daemon/entry_answers.py
+++ b/bramleycrank/daemon/entry_answers.py
@@ -1,4 +1,4 @@
-"""What the caller of a forwarded request gets, as a response."""
+"""Builds the response to the caller of a forwarded request."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 from bramleycrank.transport.http1.messages import Headers, end_to_end
 
 
-def render(dialect: EntryDialect, meta: CallerMeta, give: Give) -> tuple[int, Headers, bytes, str]:
-    """Return status, headers and body of the response, and a note for the log."""
-    match give:
+def render(
+    dialect: EntryDialect, meta: CallerMeta, outcome: Give
+) -> tuple[int, Headers, bytes, str]:
+    """Return status, headers and body of the response, and the outcome for the log."""
+    match outcome:
         case Answer(answer=answer):
             return answer.status, end_to_end(answer.headers), answer.body, "answered"
         case Merged():
-            receipts = [part.receipt for part in give.parts]
-            body = merge_records((part.body for part in give.parts), give.top_records)
-            return 200, dialect.merged_headers(meta, receipts, give.missing), body, "merged"
+            receipts = [part.receipt for part in outcome.parts]
+            body = merge_records((part.body for part in outcome.parts), outcome.top_records)
+            return 200, dialect.merged_headers(meta, receipts, outcome.missing), body, "merged"
         case Refusal():
-            headers = dialect.refusal_headers(meta, give.retry_after_s)
-            return _refusal_status(give), headers, b"", give.reason
+            headers = dialect.refusal_headers(meta, outcome.retry_after_s)
+            return _refusal_status(outcome), headers, b"", outcome.reason
 
 
-def missing_services(route: Route, give: Give) -> list[str]:
-    """Return the services whose part is not in a merged answer."""
-    if not isinstance(give, Merged):
+def missing_services(route: Route, outcome: Give) -> list[str]:
+    """Return the services whose reply is missing from a merged answer."""
+    if not isinstance(outcome, Merged):
         return []
-    return sorted(set(route.services) - {part.service for part in give.parts})
+    return sorted(set(route.services) - {part.service for part in outcome.parts})
 
 
 def _refusal_status(refusal: Refusal) -> int:
-    """Return 503 only where it is true that the request has not run and never will."""
+    """Return the status of a refusal: 503 only if the request was not and will not be executed."""
     if refusal.not_run:
         return 503
     return 504 if refusal.reason == "timeout" else 502
--- a/bramleycrank/daemon/entry_call.py
+++ b/bramleycrank/daemon/entry_call.py
@@ -1,4 +1,4 @@
-"""A request of a caller in progress, and who hears of its sub-requests."""
+"""A caller's request in progress, and the interface that receives sub-request outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A request in progress."""
+    """A caller's request in progress, with its open sub-requests."""
 
     exchange: Exchange
     meta: CallerMeta
@@ -29,23 +29,23 @@
 
 
 class SubEnds(Protocol):
-    """Hears of the ends of all requests' sub-requests."""
+    """Receives the outcomes of the sub-requests of all requests."""
 
     def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
-        """Take a response; return whether it belongs to the request."""
+        """Process a response; return whether it belongs to the request."""
 
     def on_lost(self, call: Call, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
-        """Take the loss of a response."""
+        """Process the loss of a response."""
 
     def on_late(self, call: Call, sub: PoolSub, response: Response) -> None:
-        """Take the response to a cancelled sub-request."""
+        """Process the response to a cancelled sub-request."""
 
     def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
-        """Take note that a cancelled sub-request occupies its target no more."""
+        """Record that a cancelled sub-request no longer occupies a slot of its target."""
 
 
 class CallListener:
-    """Passes the ends of one request's sub-requests on."""
+    """Forwards the outcomes of one request's sub-requests together with the request."""
 
     __slots__ = ("_call", "_controller")
 
@@ -54,17 +54,17 @@
         self._call = call
 
     def on_response(self, sub: PoolSub, response: Response) -> bool:
-        """Take a response."""
+        """Forward a response."""
         return self._controller.on_response(self._call, sub, response)
 
     def on_lost(self, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
-        """Take the loss of a response."""
+        """Process the loss of a response."""
         self._controller.on_lost(self._call, sub, sent=sent, garbled=garbled)
 
     def on_late(self, sub: PoolSub, response: Response) -> None:
-        """Take the response to a cancelled sub-request."""
+        """Process the response to a cancelled sub-request."""
         self._controller.on_late(self._call, sub, response)
 
     def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
-        """Take the end of a cancelled sub-request."""
+        """Forward the end of a cancelled sub-request."""
         self._controller.on_given_up(sub, ending)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -39,37 +39,37 @@
 log = logging.getLogger(__name__)
 
 
-LOGGED_FAILURES = 8
-"""Failed sub-requests that the log line of a request names; it has to stay one short line."""
+MAX_LOGGED_FAILURES = 8
+"""Most failed sub-requests that are listed in the log line of a request."""
 
 
 class EntryController:
-    """Runs a `ScatterExecution` for each request and executes its actions.
+    """Runs a `ScatterExecution` for each caller's request and executes its actions.
 
     Parameters
     ----------
     domain : str
         Failure domain of this VM.
     dialect : EntryDialect
-        Reads and writes headers.
+        Reads and writes the protocol's headers.
     routes : Routes
         Source of the routes.
     targets : Targets
         Source of the targets.
     extra : ExtraConfig
-        Bound for extra sub-requests.
+        Limits of the retry budget.
     metrics : Metrics
-        Receiver of metrics.
+        Receives the metrics.
     rng : random.Random
         Source of random choices.
     is_cut_off : callable, optional
-        Returns whether callers should connect to another VM.
+        Returns whether this VM's domain is isolated, so that callers should connect to another VM.
     link_bytes_per_s : float, optional
-        Bandwidth of this VM's link; 0 if unknown.
+        Bandwidth of this VM's link in bytes per second; 0 if unknown.
     memory_bytes : int, optional
-        Memory limit of this VM; 0 if unknown.
+        Memory limit of this VM in bytes; 0 if unknown.
     traffic : Traffic, optional
-        Counts the sub-requests.
+        Counts the bytes and messages of sub-requests.
     """
 
     def __init__(
@@ -89,14 +89,16 @@
         self._is_cut_off = is_cut_off
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
-        self._started = self._clock()
+        self._started_at = self._clock()
         self._rng = rng
         self._dialect = dialect
         self._routes = routes
         self._metrics = metrics
         self._requests = RequestLog(log, self._clock)
         self._index: RouteIndex | None = None
-        self._targets = EntryTargets(domain, targets, extra, metrics, rng, self._wake, memory_bytes)
+        self._targets = EntryTargets(
+            domain, targets, extra, metrics, rng, self._resume_waiting, memory_bytes
+        )
         self._calls: set[Call] = set()
         self._waiting: dict[str, list[Call]] = defaultdict(list)
         self._sub_ids = itertools.count(1)
@@ -104,13 +106,13 @@
         self._traffic = traffic or Traffic()
 
     async def start(self) -> None:
-        """Follow the routes and the targets."""
+        """Subscribe to changes of the routes and the targets."""
         self._routes.subscribe(self._on_routes)
         self._on_routes()
         self._targets.start()
 
     async def stop(self) -> None:
-        """Cancel what is in progress."""
+        """Cancel all requests in progress."""
         self._targets.stop()
         for call in list(self._calls):
             self._execute(call, call.execution.on_caller_gone(self._clock()))
@@ -136,11 +138,11 @@
         return self._index is not None and self._targets.can_serve(self._index)
 
     def limits(self) -> Limits:
-        """Return the limits for callers."""
+        """Return the limits on callers' requests and connections."""
         return self._index.limits if self._index is not None else Limits()
 
     def dump(self) -> dict[str, Any]:
-        """Return routes, requests, targets and connections."""
+        """Return routes, requests, targets and connections in JSON form."""
         now = self._clock()
         return {
             "routes": self._index and self._index.dump(),
@@ -152,12 +154,12 @@
     # Requests.
 
     def on_request(self, exchange: Exchange) -> None:
-        """Forward a request."""
+        """Forward a caller's request, or refuse it if no route matches."""
         now = self._clock()
         request = exchange.request
         meta = self._dialect.caller_meta(request)
         if self._index is None:
-            retry_s = spread(until_started(now - self._started), self._rng)
+            retry_s = spread(until_started(now - self._started_at), self._rng)
             self._refuse(exchange, meta, 503, retry_s, "no routes are known yet")
             return
         route = self._index.find(request.host.decode("latin-1"), request.path)
@@ -175,14 +177,18 @@
         )
         call = Call(exchange, meta, execution)
         self._calls.add(call)
-        exchange.on_gone = lambda: self._on_gone(call)
+        exchange.on_gone = lambda: self._on_caller_disconnected(call)
         self._execute(call, execution.start(now))
 
-    def _on_gone(self, call: Call) -> None:
+    def _on_caller_disconnected(self, call: Call) -> None:
         now = self._clock()
         self._metrics.incr("entry.gone")
         self._requests.note(
-            "caller gone", call.meta.request_id, now, failed=True, route=call.execution.route.name
+            "caller disconnected",
+            call.meta.request_id,
+            now,
+            failed=True,
+            route=call.execution.route.name,
         )
         self._execute(call, call.execution.on_caller_gone(now))
 
@@ -213,14 +219,14 @@
                     if sub is not None:
                         self._targets.pool.cancel(sub, overtaken=action.overtaken)
                 case Answer() | Merged() | Refusal():
-                    self._give(call, action)
+                    self._respond(call, action)
         if call.execution.ended:
-            self._forget(call)
+            self._finish(call)
         else:
-            self._await(call)
+            self._schedule(call)
 
-    def _await(self, call: Call) -> None:
-        """Wait for room and for the next time limit."""
+    def _schedule(self, call: Call) -> None:
+        """Queue a request for free slots and set the timer for its next deadline."""
         for service in call.execution.waiting:
             if call not in self._waiting[service]:
                 self._waiting[service].append(call)
@@ -233,11 +239,11 @@
 
     def _on_timer(self, call: Call) -> None:
         call.timer = None
-        # Timers fire up to a clock tick early.
+        # The event loop may run a timer up to one clock tick early.
         now = max(self._clock(), call.timer_at)
         self._execute(call, call.execution.tick(now))
 
-    def _forget(self, call: Call) -> None:
+    def _finish(self, call: Call) -> None:
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
@@ -251,8 +257,8 @@
         def encode() -> bytes:
             left_s = action.deadline - self._clock()
             data = call.template.encode(self._dialect.target_headers(action.target_id, left_s))
-            far = self._targets.is_far(action.target_id)
-            self._traffic.note("sub_requests", far, len(data) + SEGMENT_BYTES)
+            remote = self._targets.is_far(action.target_id)
+            self._traffic.note("sub_requests", remote, len(data) + SEGMENT_BYTES)
             return data
 
         sub = PoolSub(
@@ -269,44 +275,44 @@
         self._metrics.incr("entry.sub_requests")
         self._targets.pool.send(sub)
 
-    # Ends of sub-requests.
+    # Outcomes of sub-requests.
 
     def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
-        """Take a response; return whether it belongs to the request."""
+        """Process a response; return whether it belongs to the request."""
         call.subs.pop(sub.sub_id, None)
-        far = self._targets.is_far(sub.target_id)
-        self._traffic.note("sub_requests", far, response.size, calls=0)
+        remote = self._targets.is_far(sub.target_id)
+        self._traffic.note("sub_requests", remote, response.size, calls=0)
         meta = self._dialect.target_meta(response)
         execution, now = call.execution, self._clock()
-        stray = bool(meta.request_id) and meta.request_id != call.meta.request_id
-        if not stray:
-            self._note_wishes(sub, meta)
-        if stray or (not meta.not_run and not self._is_sound(response, meta)):
-            self._note_failure(call, sub, FailureKind.GARBLED)
+        mismatched = bool(meta.request_id) and meta.request_id != call.meta.request_id
+        if not mismatched:
+            self._apply_target_state(sub, meta)
+        if mismatched or (not meta.not_run and not self._is_valid(response, meta)):
+            self._record_failure(call, sub, FailureKind.GARBLED)
             failure = SubFailure(FailureKind.GARBLED)
             self._execute(call, execution.on_failure(sub.sub_id, failure, now))
-            return not stray
+            return not mismatched
         if meta.not_run:
             kind = FailureKind.WRONG_TARGET if meta.wrong_target else FailureKind.REFUSED
-            self._note_failure(call, sub, kind)
+            self._record_failure(call, sub, kind)
             self._execute(call, execution.on_failure(sub.sub_id, SubFailure(kind), now))
             return True
         answer = TargetAnswer(
             response.status, response.headers, response.body, meta.receipt, meta.load
         )
         if not answer.ok:
-            self._note_failure(call, sub, f"status {answer.status}")
+            self._record_failure(call, sub, f"status {answer.status}")
         self._execute(call, execution.on_answer(sub.sub_id, answer, now))
         return True
 
     def on_late(self, call: Call, sub: PoolSub, response: Response) -> None:
-        """Take what the response to a cancelled sub-request says about its target."""
+        """Read the target's state from the response to a cancelled sub-request."""
         meta = self._dialect.target_meta(response)
         if meta.request_id == call.meta.request_id:
-            self._note_wishes(sub, meta)
+            self._apply_target_state(sub, meta)
 
-    def _note_wishes(self, sub: PoolSub, meta: TargetMeta) -> None:
-        """Follow a target that leaves or wants no requests, before anything else is sent."""
+    def _apply_target_state(self, sub: PoolSub, meta: TargetMeta) -> None:
+        """Apply the leaving flag and the hold of a response before anything else is sent."""
         if meta.wrong_target or not meta.request_id:
             return
         if meta.leaving:
@@ -315,38 +321,38 @@
             self._targets.hold(sub.target_id, sub.incarnation, meta.hold_s)
 
     @staticmethod
-    def _is_sound(response: Response, meta: TargetMeta) -> bool:
-        """Return whether a response can be the target's own: a success needs its receipt."""
+    def _is_valid(response: Response, meta: TargetMeta) -> bool:
+        """Return whether a response is valid; a success must carry the target's receipt."""
         return not 200 <= response.status < 300 or (bool(meta.receipt) and not meta.encoded)
 
     def on_lost(self, call: Call, sub: PoolSub, *, sent: bool, garbled: bool) -> None:
-        """Take the loss of a response."""
+        """Process the loss of a response."""
         call.subs.pop(sub.sub_id, None)
         kind = FailureKind.NOT_SENT
         if sent:
             kind = FailureKind.GARBLED if garbled else FailureKind.LOST
-        self._note_failure(call, sub, kind)
+        self._record_failure(call, sub, kind)
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
     def on_given_up(self, sub: PoolSub, ending: Ending) -> None:
-        """Take note that a cancelled sub-request occupies its target no more."""
+        """Record that a cancelled sub-request no longer occupies a slot of its target."""
         now = self._clock()
         latency_s = now - sub.started if ending is Ending.ANSWERED else None
         silent = ending is Ending.SILENT
         self._targets.policy.on_given_up(sub.target_id, latency_s, now, silent=silent)
 
-    def _note_failure(self, call: Call, sub: PoolSub, reason: str) -> None:
+    def _record_failure(self, call: Call, sub: PoolSub, reason: str) -> None:
         self._metrics.incr("entry.sub_failures")
-        if len(call.failures) < LOGGED_FAILURES:
+        if len(call.failures) < MAX_LOGGED_FAILURES:
             call.failures.append(f"{sub.target_id}: {reason}")
 
     # Answers.
 
-    def _give(self, call: Call, action: Answer | Merged | Refusal) -> None:
-        status, headers, body, note = render(self._dialect, call.meta, action)
+    def _respond(self, call: Call, action: Answer | Merged | Refusal) -> None:
+        status, headers, body, outcome = render(self._dialect, call.meta, action)
         route = call.execution.route
-        # An open connection would bring the caller's next request here again.
+        # On an open connection the caller's next request would reach this isolated VM again.
         close = isinstance(action, Refusal) and self._is_cut_off()
         call.exchange.respond(status, headers, body, close=close)
         self._delivery.on_answer(route, len(body) + size_of(headers))
@@ -356,7 +362,7 @@
         self._metrics.timing("entry.latency", latency_s)
         partial = isinstance(action, Merged) and action.missing > 0
         self._requests.note(
-            note,
+            outcome,
             call.meta.request_id,
             now,
             failed=partial or not 200 <= status < 300,
@@ -369,7 +375,7 @@
             target_failures=call.failures,
         )
 
-    # Routes, and room at targets.
+    # Changes of routes and of free slots at targets.
 
     def _on_routes(self) -> None:
         table = self._routes.routes()
@@ -377,11 +383,11 @@
             return
         self._index = RouteIndex(table)
         log.info("entry: routes in force", extra={"routes_version": table.version})
-        self._targets.use(self._index)
+        self._targets.apply_routes(self._index)
         self._delivery.retain({route.name for route in self._index.routes()})
 
-    def _wake(self, service: str) -> None:
-        """Let the most urgent request that waits for a service try again."""
+    def _resume_waiting(self, service: str) -> None:
+        """Resume requests that wait for a service, most urgent first, while slots are free."""
         waiting = self._waiting.get(service)
         if not waiting:
             return
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -1,4 +1,4 @@
-"""The targets of the HTTP entry: which are known, their connections, and how they are chosen."""
+"""Targets of the HTTP entry: known records, connections and the choice among them."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 log = logging.getLogger(__name__)
 
 POOL_TICK_S = 0.05
-"""Time between two checks of the connections' time limits, in seconds."""
+"""Interval at which the time limits of connections are checked, in seconds."""
 
-COUNT_TICKS = 10
-"""Ticks between two counts of the VMs, which read all of their records."""
+VM_COUNT_TICKS = 10
+"""Ticks between two counts of the VMs; a count reads the records of all VMs."""
 
 DEFAULT_CONNECTIONS = 8
-"""Connections of a target in all while its service names no limit."""
+"""Connections that all VMs together open to a target whose service sets no limit."""
 
 
 class Targets(Protocol):
     """Source of the targets."""
 
     def targets(self, service: str) -> list[TargetRecord]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that may receive new requests."""
 
     def subscribe_targets(self, callback: Callable[[TargetRecord], None]) -> None:
         """Call back whenever a target's record or usability changes."""
 
     def vm_count(self, domain: str | None = None) -> int:
-        """Return how many VMs share the budgets."""
+        """Return the number of VMs that share the connection and retry budgets."""
 
     def note_leaving(self, target_id: str, incarnation: int) -> None:
-        """Record that a target itself said that it leaves."""
+        """Record that a target announced that it leaves."""
 
 
 class EntryTargets:
-    """Keeps the policy and the connections in step with the registry and the routes.
+    """Updates the target policy and the connections after changes of the registry and the routes.
 
     Parameters
     ----------
@@ -56,15 +56,15 @@
     source : Targets
         Source of the targets.
     extra : ExtraConfig
-        Bound for extra sub-requests.
+        Limits of the retry budget.
     metrics : Metrics
-        Receiver of metrics.
+        Receives the metrics.
     rng : random.Random
         Source of random choices.
-    wake : callable
-        Called with a service whose targets may have room or have changed.
+    on_capacity : callable
+        Called with a service whose targets have changed or may have free slots.
     memory_bytes : int, optional
-        Memory limit of this VM, of which responses may use a part; 0 if unknown.
+        Memory limit of this VM in bytes, a part of which may hold responses; 0 if unknown.
     """
 
     def __init__(
@@ -74,47 +74,53 @@
         extra: ExtraConfig,
         metrics: Metrics,
         rng: random.Random,
-        wake: Callable[[str], None],
+        on_capacity: Callable[[str], None],
         memory_bytes: int = 0,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
         self._source = source
         self._metrics = metrics
-        self._wake = wake
+        self._on_capacity = on_capacity
         self._index: RouteIndex | None = None
         self._budget = ConnectionBudget(ConnectionConfig(), self._clock())
         self._vm_count = 1
-        self.pool = HttpPool(self._connect, self._share, self._on_room, self._on_down, self._clock)
+        self.pool = HttpPool(
+            self._connect,
+            self._connection_share,
+            self._on_slot_free,
+            self._on_reachability_change,
+            self._clock,
+        )
         self.policy = TargetPolicy(domain, extra, self.pool.has_room, lambda: self._vm_count, rng)
         self._intake: IntakeBudget[TargetConnection] = IntakeBudget.from_memory(memory_bytes)
         self._services_of: dict[str, str] = {}
         self._incarnations: dict[str, int] = {}
-        self._served: set[str] = set()
+        self._covered: set[str] = set()
         self._domain = domain
-        self._far: set[str] = set()  # targets of other failure domains
-        self._opening: set[asyncio.Task[Any]] = set()
+        self._remote: set[str] = set()  # targets in other failure domains
+        self._open_tasks: set[asyncio.Task[Any]] = set()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Follow the registry and watch the connections."""
+        """Subscribe to the registry and start the periodic checks of connections."""
         self._source.subscribe_targets(self._on_target)
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop the periodic checks."""
         if self._task is not None:
             self._task.cancel()
 
-    def use(self, index: RouteIndex) -> None:
-        """Take the targets of the services that the routes name, and drop others."""
+    def apply_routes(self, index: RouteIndex) -> None:
+        """Load the targets of the services in the routes and remove all others."""
         self._index = index
-        for service in index.services | self._served:
+        for service in index.services | self._covered:
             self._refresh(service)
 
     def covers(self, index: RouteIndex) -> bool:
         """Return whether a target is known for each service of the routes."""
-        return index.services <= self._served
+        return index.services <= self._covered
 
     def can_serve(self, index: RouteIndex) -> bool:
         """Return whether each route reaches enough of its services for a success.
@@ -124,11 +130,11 @@
         return all(
             sum(map(self.policy.is_served, route.services)) >= route.needed
             for route in index.routes()
-            if any(service in self._served for service in route.services)
+            if any(service in self._covered for service in route.services)
         )
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return the policy and the connections."""
+        """Return the policy and the connections in JSON form."""
         return {
             "policy": self.policy.dump(now),
             "connections": self.pool.dump(),
@@ -137,30 +143,30 @@
         }
 
     def incarnation(self, target_id: str) -> int:
-        """Return the incarnation of a target that gets requests now; 0 if it gets none."""
+        """Return the incarnation of a target that may receive requests; 0 for any other."""
         return self._incarnations.get(target_id, 0)
 
     def note_leaving(self, target_id: str, incarnation: int) -> None:
-        """Send nothing more to an incarnation of a target, which said that it leaves."""
+        """Send no more sub-requests to an incarnation of a target that announced that it leaves."""
         if self.incarnation(target_id) == incarnation:
             log.info("entry: target says that it leaves", extra={"target": target_id})
         self._source.note_leaving(target_id, incarnation)
 
     def hold(self, target_id: str, incarnation: int, hold_s: float) -> None:
-        """Send nothing to an incarnation of a target for some time, as it asked."""
+        """Hold an incarnation of a target back for `hold_s` seconds, as it requested."""
         now = self._clock()
-        known = self.policy.table.held_until(target_id)
+        held_until = self.policy.table.held_until(target_id)
         until = self.policy.table.hold(target_id, incarnation, hold_s, now)
-        if until <= max(known, now):
+        if until <= max(held_until, now):
             return
         log.info("entry: target is held back", extra={"target": target_id, "hold_s": hold_s})
         self._metrics.incr("entry.holds")
-        self._loop.call_at(until, self._on_room, target_id)
+        self._loop.call_at(until, self._on_slot_free, target_id)
         self.pool.recall(target_id)
 
     def is_far(self, target_id: str) -> bool:
         """Return whether a target is in another failure domain."""
-        return target_id in self._far
+        return target_id in self._remote
 
     def _on_target(self, record: TargetRecord) -> None:
         service = record.service or self._services_of.get(record.target_id, "")
@@ -170,40 +176,42 @@
         self._refresh(service)
 
     def _refresh(self, service: str) -> None:
-        """Take the targets of a service over into the policy and the pool."""
+        """Copy the current targets of a service into the policy and the pool."""
         wanted = self._index is not None and service in self._index.services
         records = self._source.targets(service) if wanted else []
         limit = self._index.connections.get(service, 0) if wanted else 0
         current = {record.target_id for record in records}
-        gone = [i for i, name in self._services_of.items() if name == service and i not in current]
-        for target_id in gone:
+        removed = [
+            i for i, name in self._services_of.items() if name == service and i not in current
+        ]
+        for target_id in removed:
             del self._services_of[target_id]
             self._incarnations.pop(target_id, None)
-            self._far.discard(target_id)
+            self._remote.discard(target_id)
             self.pool.remove(target_id)
         for record in records:
             self._services_of[record.target_id] = service
             self._incarnations[record.target_id] = record.incarnation
             if record.domain != self._domain:
-                self._far.add(record.target_id)
+                self._remote.add(record.target_id)
             self.pool.update(
                 record.target_id, record.host, record.port, limit or DEFAULT_CONNECTIONS
             )
         self.policy.update(service, records, self._clock())
         if records:
-            self._served.add(service)
+            self._covered.add(service)
         else:
-            self._served.discard(service)
-        self._wake(service)
+            self._covered.discard(service)
+        self._on_capacity(service)
 
-    def _share(self, limit: int) -> int:
+    def _connection_share(self, limit: int) -> int:
         return self._budget.share(limit, self._clock())
 
     def _connect(self, host: str, port: int, pool: HttpPool) -> TargetConnection:
         conn = TargetConnection(pool, self._intake)
         task = self._loop.create_task(self._open(conn, host, port))
-        self._opening.add(task)
-        task.add_done_callback(self._opening.discard)
+        self._open_tasks.add(task)
+        task.add_done_callback(self._open_tasks.discard)
         return conn
 
     async def _open(self, conn: TargetConnection, host: str, port: int) -> None:
@@ -211,15 +219,15 @@
         try:
             await self._loop.create_connection(lambda: conn, host, port)
         except OSError as exc:
-            log.debug("entry: no connection to %s:%d: %s", host, port, exc)
+            log.debug("entry: connecting to %s:%d failed: %s", host, port, exc)
             self.pool.on_closed(conn)
 
-    def _on_room(self, target_id: str) -> None:
+    def _on_slot_free(self, target_id: str) -> None:
         service = self._services_of.get(target_id)
         if service is not None:
-            self._loop.call_soon(self._wake, service)
+            self._loop.call_soon(self._on_capacity, service)
 
-    def _on_down(self, target_id: str, down: bool) -> None:
+    def _on_reachability_change(self, target_id: str, down: bool) -> None:
         service = self._services_of.get(target_id)
         log.info(
             "entry: target is %s",
@@ -228,13 +236,13 @@
         )
         self.policy.table.set_down(target_id, down, self._clock())
         if service is not None:
-            self._loop.call_soon(self._wake, service)
+            self._loop.call_soon(self._on_capacity, service)
 
     async def _run(self) -> None:
-        for turn in itertools.count():
+        for tick in itertools.count():
             try:
                 self.pool.tick()
-                if turn % COUNT_TICKS == 0:
+                if tick % VM_COUNT_TICKS == 0:
                     self._vm_count = max(1, self._source.vm_count())
                     self._budget.on_count(self._vm_count, self._clock())
             except Exception:
--- a/bramleycrank/daemon/entry_types.py
+++ b/bramleycrank/daemon/entry_types.py
@@ -1,4 +1,4 @@
-"""What the HTTP entry needs to know of the routes and of the protocol around it."""
+"""Types and interfaces of the HTTP entry: request metadata, headers and routes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @attrs.frozen
 class CallerMeta:
-    """What a caller says about its request.
+    """Metadata of a caller's request.
 
     Parameters
     ----------
     request_id : bytes
-        Identifier of this attempt of the caller; empty if there is none.
+        Identifier of this attempt by the caller; empty if there is none.
     wait_s : float or None
-        How long the caller waits, in seconds, or None if it does not say.
+        Time that the caller waits for an answer, in seconds, or None if not given.
     """
 
     request_id: bytes
@@ -30,26 +30,26 @@
 
 @attrs.frozen
 class TargetMeta:
-    """What a target says about its response.
+    """Metadata of a target's response.
 
     Parameters
     ----------
     request_id : bytes
-        Identifier of the request that it answers; empty if the target does not say.
+        Identifier of the request that it answers; empty if not given.
     receipt : bytes
-        Proof of the run; empty if there is none.
+        Proof that the target executed the request; empty if there is none.
     not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target states that it did not execute the request.
     wrong_target : bool
-        Whether another target or incarnation was meant.
+        Whether the request was addressed to another target or incarnation.
     encoded : bool
-        Whether the body is not what the caller asked for.
+        Whether the body has a content encoding, which the caller did not request.
     load : LoadReport or None
-        Load of the target.
+        Load that the target reports, or None.
     leaving : bool
-        Whether the target says that it leaves.
+        Whether the target announces that it leaves.
     hold_s : float
-        How long the target wants no requests of this VM, in seconds; 0 if it does not say.
+        Duration of the hold that the target requests of this VM, in seconds; 0 for none.
     """
 
     request_id: bytes
@@ -66,22 +66,22 @@
     """Reads and writes the headers of forwarded requests."""
 
     def caller_meta(self, request: Request) -> CallerMeta:
-        """Return what a caller says about its request."""
+        """Return the metadata of a caller's request."""
 
     def forwarded_headers(self, request: Request) -> Headers:
-        """Return the headers that all sub-requests have."""
+        """Return the headers that all sub-requests of a request share."""
 
     def target_headers(self, target_id: str, timeout_s: float) -> Headers:
-        """Return the headers that each sub-request has of its own."""
+        """Return the headers that are specific to one sub-request."""
 
     def target_meta(self, response: Response) -> TargetMeta:
-        """Return what a target says about its response."""
+        """Return the metadata of a target's response."""
 
     def merged_headers(self, meta: CallerMeta, receipts: Sequence[bytes], missing: int) -> Headers:
         """Return the headers of a merged answer."""
 
     def refusal_headers(self, meta: CallerMeta, retry_after_s: float) -> Headers:
-        """Return the headers of an error of this VM."""
+        """Return the headers of an error response of this VM."""
 
 
 class Routes(Protocol):
--- a/bramleycrank/daemon/explain.py
+++ b/bramleycrank/daemon/explain.py
@@ -1,34 +1,34 @@
-"""Short reasons for the state of the log and of the configuration, for dumps."""
+"""Explains the state of consensus and of the configuration in short texts for dumps."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-# A member that is silent for longer has missed several heartbeats of 150 ms.
+# Silence after which a member is reported, in seconds: several missed heartbeats of 150 ms.
 SILENT_S = 1.0
 
 
 def explain_role(
     role: str, may_vote: bool, failure: BaseException | None, core: Mapping[str, Any] | None
 ) -> str:
-    """Return why a VM has its role in the log.
+    """Return the reason for the role of a VM in consensus.
 
     Parameters
     ----------
     role : str
-        Role for operators.
+        Role that operators see.
     may_vote : bool
         Whether the settings let the VM vote.
     failure : BaseException or None
-        What stopped the consensus core.
+        Error that stopped the consensus core.
     core : Mapping or None
-        Dump of the core, if there is one.
+        Dump of the consensus core, if there is one.
     """
     if not may_vote or core is None:
         return "the settings give this VM no vote"
     if failure is not None:
-        return f"the core stopped: {failure}"
+        return f"the consensus core stopped: {failure}"
     if not core["cluster_id"]:
         return "the VM belongs to no cluster yet"
     if role == "entry":
@@ -37,42 +37,46 @@
         return f"elected in term {core['term']}"
     if core["leader_id"]:
         return f"follows {core['leader_id']} in term {core['term']}"
-    return "hears no leader and has not enough votes"
+    return "knows no leader and lacks the votes of a quorum"
 
 
 def lagging_members(core: Mapping[str, Any] | None, now: float) -> dict[str, str]:
-    """Return the members that a leader waits for, with the reason; empty if not leading."""
+    """Return the members that lag behind this leader, with the reason; empty on a non-leader."""
     leadership = core["leadership"] if core else None
     if not leadership:
         return {}
-    lagging = {}
+    reasons = {}
     for node_id, progress in leadership["progress"].items():
         if node_id == core["node_id"]:
             continue
         silent_s = now - progress["heard_at"]
         behind = core["commit_index"] - progress["match_index"]
         if silent_s > SILENT_S:
-            lagging[node_id] = f"silent for {silent_s:.1f} s, {max(behind, 0)} entries behind"
+            reasons[node_id] = f"silent for {silent_s:.1f} s, {max(behind, 0)} entries behind"
         elif behind > 0:
-            lagging[node_id] = f"{behind} entries behind"
-    return lagging
+            reasons[node_id] = f"{behind} entries behind"
+    return reasons
 
 
 def explain_age(ready: bool, current: bool, stale_s: float | None, leader_address: str) -> str:
-    """Return why the configuration of a VM is current or not.
+    """Return the reason why the configuration of a VM is current or not.
 
     Parameters
     ----------
     ready, current : bool
-        Whether a configuration is in force, and confirmed within the lease.
+        Whether a configuration is in force, and whether it was confirmed within the lease.
     stale_s : float or None
-        Age of the newest confirmation in seconds, None without any.
+        Age of the latest confirmation in seconds, or None if there is none.
     leader_address : str
         Address of the known leader, or an empty string.
     """
     if current:
         return f"a leader confirmed the revision {stale_s:.1f} s ago"
-    leader = f"the leader at {leader_address} does not confirm" if leader_address else "no leader"
+    leader = (
+        f"the leader at {leader_address} sends no confirmation"
+        if leader_address
+        else "no leader is known"
+    )
     if not ready:
         return f"no configuration is in force; {leader}"
     if stale_s is None:
--- a/bramleycrank/daemon/identity.py
+++ b/bramleycrank/daemon/identity.py
@@ -1,4 +1,4 @@
-"""Who and where VMs are."""
+"""Identities and addresses of VMs."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Directory(Protocol):
-    """What other parts know of VMs."""
+    """Lookup of the addresses of VMs."""
 
     def leader_address(self) -> str:
-        """Return the leader's ``host:port`` as gossip tells it, or an empty string."""
+        """Return the leader's ``host:port`` as known from gossip, or an empty string."""
 
     def vm_address(self, vm_id: str) -> str:
         """Return the ``host:port`` of a VM, or an empty string."""
@@ -24,13 +24,13 @@
 
 @attrs.frozen(kw_only=True)
 class Identity:
-    """Who and where this VM is.
+    """Identity and address of this VM.
 
     Parameters
     ----------
     replace_damaged : bool
-        Whether a damaged log is replaced by an empty one, under a new node id. Only where voters
-        are admitted without an operator: the VM then comes back as a learner.
+        Whether a damaged log is replaced by an empty one with a new node id. Allowed only where
+        voters are admitted without an operator: the VM then returns as a learner.
     """
 
     vm_id: str
@@ -43,10 +43,10 @@
 
     @property
     def address(self) -> str:
-        """Address for other VMs."""
+        """Address at which other VMs reach this VM."""
         return format_address(self.host, self.port)
 
 
 def format_address(host: str, port: int) -> str:
-    """Return ``host:port``, with brackets around an IPv6 number."""
+    """Return ``host:port``, with brackets around an IPv6 address."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/bramleycrank/daemon/life_cycle.py
+++ b/bramleycrank/daemon/life_cycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of the daemon: start, join, serve, drain and stop without cutting a request."""
+"""Life cycle of the daemon: start, join, serve, drain, and stop after all requests have ended."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 log = logging.getLogger(__name__)
 
-# Parts that tell others about the stop may not hold it up for longer, in seconds.
-FAREWELL_LIMIT_S = 5.0
+# Timeout of each step of the stop that contacts other VMs, in seconds.
+STOP_STEP_TIMEOUT_S = 5.0
 
 
 class Steps(Protocol):
-    """What the life cycle asks of the node, in this order."""
+    """Steps of the life cycle that the node implements, in the order of their execution."""
 
     async def start_parts(self) -> None:
         """Open the data folder and start all controllers and listeners."""
@@ -27,52 +27,52 @@
         """Wait until a configuration is in force."""
 
     def set_draining(self, draining: bool) -> None:
-        """Tell the other VMs whether this VM is draining."""
+        """Announce to the other VMs whether this VM is draining."""
 
     async def stop_listening(self) -> None:
-        """Accept no new requests of callers."""
+        """Stop accepting requests of callers."""
 
     async def finish_requests(self, limit_s: float) -> None:
         """Wait until no request is in flight."""
 
     async def transfer_leadership(self) -> None:
-        """Hand the leadership over, if this VM leads."""
+        """Transfer the leadership to another voter if this VM is the leader."""
 
     async def leave(self) -> None:
-        """Tell the other VMs that this VM has left."""
+        """Announce to the other VMs that this VM has left."""
 
     async def close(self) -> None:
         """Close sessions, listeners and the data folder."""
 
 
 class Inputs(Protocol):
-    """Events that move the life cycle."""
+    """Events of the state machine."""
 
     def started(self) -> None:
-        """Take note that all parts run."""
+        """Handle that all parts are running."""
 
     def joined(self) -> None:
-        """Take note that a configuration is in force."""
+        """Handle that a configuration is in force."""
 
     def drain(self) -> None:
-        """Drain the VM for an operator."""
+        """Handle an operator's drain of the VM."""
 
     def resume(self) -> None:
-        """End the drain of an operator."""
+        """Handle the end of an operator's drain."""
 
     def stop(self) -> None:
-        """Stop after SIGTERM or a failure to start."""
+        """Handle SIGTERM or a failed start."""
 
     def drained(self) -> None:
-        """Take note that no request is in flight."""
+        """Handle that no request is in flight any more."""
 
     def closed(self) -> None:
-        """Take note that all parts are closed."""
+        """Handle that all parts are closed."""
 
 
 @attrs.define
 class _Core:
-    """State shared by the transitions."""
+    """State that all transitions share."""
 
     life_cycle: LifeCycle
     state: str = "starting"
@@ -80,14 +80,16 @@
 
 
 def _build() -> Callable[[_Core], Inputs]:
-    """Return the factory of the state machine."""
+    """Build the state machine and return its factory."""
     builder = TypeMachineBuilder(Inputs, _Core)
     states = {
         name: builder.state(name)
         for name in ("starting", "joining", "serving", "drained", "draining", "stopping", "stopped")
     }
 
-    def move(source: str, event: Callable, target: str, output: Callable | None = None) -> None:
+    def add_transition(
+        source: str, event: Callable, target: str, output: Callable | None = None
+    ) -> None:
         def run(inputs: Inputs, core: _Core) -> None:
             core.state = target
             log.info("life cycle: %s -> %s", source, target)
@@ -97,35 +99,35 @@
         run.__name__ = f"{source}_{event.__name__}"
         states[source].upon(event).to(states[target])(run)
 
-    def remember(source: str, event: Callable, drain: bool) -> None:
+    def record_drain(source: str, event: Callable, drain: bool) -> None:
         def run(inputs: Inputs, core: _Core) -> None:
             core.operator_drain = drain
 
         run.__name__ = f"{source}_{event.__name__}"
         states[source].upon(event).loop()(run)
 
-    move("starting", Inputs.started, "joining", LifeCycle._begin_join)
-    move("joining", Inputs.joined, "serving", LifeCycle._begin_serving)
-    move("serving", Inputs.drain, "drained", LifeCycle._begin_operator_drain)
-    move("drained", Inputs.resume, "serving", LifeCycle._end_operator_drain)
-    move("serving", Inputs.stop, "draining", LifeCycle._begin_stop)
-    move("drained", Inputs.stop, "draining", LifeCycle._begin_stop)
-    move("joining", Inputs.stop, "draining", LifeCycle._begin_stop_unannounced)
-    move("starting", Inputs.stop, "stopping", LifeCycle._begin_close)
-    move("draining", Inputs.drained, "stopping", LifeCycle._begin_close)
-    move("stopping", Inputs.closed, "stopped")
+    add_transition("starting", Inputs.started, "joining", LifeCycle._begin_join)
+    add_transition("joining", Inputs.joined, "serving", LifeCycle._begin_serving)
+    add_transition("serving", Inputs.drain, "drained", LifeCycle._begin_operator_drain)
+    add_transition("drained", Inputs.resume, "serving", LifeCycle._end_operator_drain)
+    add_transition("serving", Inputs.stop, "draining", LifeCycle._begin_stop)
+    add_transition("drained", Inputs.stop, "draining", LifeCycle._begin_stop)
+    add_transition("joining", Inputs.stop, "draining", LifeCycle._begin_stop_without_notice)
+    add_transition("starting", Inputs.stop, "stopping", LifeCycle._begin_close)
+    add_transition("draining", Inputs.drained, "stopping", LifeCycle._begin_close)
+    add_transition("stopping", Inputs.closed, "stopped")
     for name in ("starting", "joining"):
-        remember(name, Inputs.drain, True)
-        remember(name, Inputs.resume, False)
-    _ignore_the_rest(states)
+        record_drain(name, Inputs.drain, True)
+        record_drain(name, Inputs.resume, False)
+    _ignore_other_events(states)
     return builder.build()
 
 
-def _ignore_the_rest(states: dict) -> None:
-    """Let every event that means nothing in a state pass without effect.
+def _ignore_other_events(states: dict) -> None:
+    """Make each state ignore the events that have no transition in it.
 
-    A second SIGTERM, an operator's drain during a stop, or a configuration that arrives while
-    the VM stops are no errors.
+    A second SIGTERM, an operator's drain during a stop, and a configuration that arrives during a
+    stop are not errors.
     """
     ignored = {
         "starting": (Inputs.joined, Inputs.drained, Inputs.closed),
@@ -151,20 +153,21 @@
 
 
 class LifeCycle:
-    """Runs the steps of the node in the order of the life cycle.
+    """Executes the steps of the node in the order of the life cycle.
 
-    ``drained`` is the state of a VM that an operator drains: it refuses readiness and gives up
-    leadership, goes on serving what reaches it, and returns to ``serving`` when the operator
-    ends the drain. ``draining`` is the first part of a stop.
+    A VM that an operator drains is in state ``drained``: it reports that it is not ready, transfers
+    its leadership, still serves the requests that arrive, and returns to ``serving`` when the
+    operator ends the drain. ``draining`` is the first phase of a stop.
 
     Parameters
     ----------
     steps : Steps
-        The node.
+        Implementation of the steps.
     drain_notice_s : float
-        How long the VM goes on accepting after readiness fails, in seconds.
+        Time for which the VM still accepts requests after it has reported that it is not ready, in
+        seconds.
     drain_limit_s : float
-        Longest wait for requests in flight, in seconds.
+        Longest time to wait for requests in flight, in seconds.
     """
 
     def __init__(self, steps: Steps, drain_notice_s: float, drain_limit_s: float) -> None:
@@ -179,7 +182,7 @@
 
     @property
     def state(self) -> str:
-        """Name of the state."""
+        """Name of the current state."""
         return self._core.state
 
     def ready(self) -> bool:
@@ -196,7 +199,7 @@
         }
 
     def start(self) -> None:
-        """Begin to start all parts."""
+        """Start all parts in the background."""
         self._spawn(self._start())
 
     def stop(self) -> None:
@@ -204,7 +207,7 @@
         self._machine.stop()
 
     def set_operator_drain(self, drained: bool) -> None:
-        """Take over what the configuration says about this VM."""
+        """Apply the operator's drain flag of this VM from the configuration."""
         if drained:
             self._machine.drain()
         else:
@@ -216,12 +219,12 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _start(self) -> None:
-        _freeze_long_lived()
+        _exclude_from_collection()
         try:
             await self._steps.start_parts()
         except Exception as exc:
             if self.state != "starting":
-                return  # The stop that came first closes what had started.
+                return  # A stop began during the start; it closes the parts that had started.
             log.error("life cycle: start failed: %s", exc)
             self.failure = exc
             self._machine.stop()
@@ -233,7 +236,7 @@
 
     async def _join(self) -> None:
         await self._steps.join()
-        _freeze_long_lived()
+        _exclude_from_collection()
         self._machine.joined()
 
     def _begin_serving(self) -> None:
@@ -242,7 +245,7 @@
 
     def _begin_operator_drain(self) -> None:
         self._steps.set_draining(True)
-        self._spawn(self._guard("leadership transfer", self._steps.transfer_leadership()))
+        self._spawn(self._run_step("leadership transfer", self._steps.transfer_leadership()))
 
     def _end_operator_drain(self) -> None:
         self._core.operator_drain = False
@@ -251,15 +254,15 @@
     def _begin_stop(self) -> None:
         self._spawn(self._drain(self._drain_notice_s))
 
-    def _begin_stop_unannounced(self) -> None:
-        """Stop a VM that was never ready: the load balancer needs no notice."""
+    def _begin_stop_without_notice(self) -> None:
+        """Stop a VM that was never ready, without the notice period for the load balancer."""
         self._spawn(self._drain(0.0))
 
     async def _drain(self, notice_s: float) -> None:
         self._steps.set_draining(True)
         await asyncio.sleep(notice_s)
-        await self._guard("stop of listening", self._steps.stop_listening())
-        await self._guard(
+        await self._run_step("stop of listening", self._steps.stop_listening())
+        await self._run_step(
             "wait for requests", self._steps.finish_requests(self._drain_limit_s), None
         )
         self._machine.drained()
@@ -268,30 +271,31 @@
         self._spawn(self._close())
 
     async def _close(self) -> None:
-        await self._guard("leadership transfer", self._steps.transfer_leadership())
-        await self._guard("leave", self._steps.leave())
-        await self._guard("close", self._steps.close())
+        await self._run_step("leadership transfer", self._steps.transfer_leadership())
+        await self._run_step("leave", self._steps.leave())
+        await self._run_step("close", self._steps.close())
         gc.unfreeze()
         self._machine.closed()
         self.finished.set()
 
-    async def _guard(
-        self, what: str, step: Awaitable[None], limit_s: float | None = FAREWELL_LIMIT_S
+    async def _run_step(
+        self, name: str, step: Awaitable[None], limit_s: float | None = STOP_STEP_TIMEOUT_S
     ) -> None:
-        """Run a step of the stop; its failure is logged and does not end the stop."""
+        """Run a step of the stop; a timeout or failure is logged and the stop continues."""
         try:
             await asyncio.wait_for(step, limit_s)
         except TimeoutError:
-            log.warning("life cycle: %s took longer than %s s", what, limit_s)
+            log.warning("life cycle: %s took longer than %s s", name, limit_s)
         except Exception:
-            log.exception("life cycle: %s failed", what)
+            log.exception("life cycle: %s failed", name)
 
 
-def _freeze_long_lived() -> None:
-    """Keep the garbage collector away from what lives as long as the process.
+def _exclude_from_collection() -> None:
+    """Exclude all current objects from garbage collection.
 
-    Modules, routes and connections are some 50,000 objects. A full collection over them stops the
-    process for longer than a latency objective, at a moment when requests come.
+    Modules, routes and connections are some 50,000 objects, most of which live as long as the
+    process. A full collection that visits them blocks the process for longer than a latency
+    objective while requests arrive.
     """
     gc.freeze()
 
--- a/bramleycrank/daemon/log_host.py
+++ b/bramleycrank/daemon/log_host.py
@@ -1,4 +1,4 @@
-"""Holds the log of this VM and the core that works on it."""
+"""Opens the log of this VM and runs the consensus core on it."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 log = logging.getLogger(__name__)
 
-REOPEN_PAUSE_S = 0.5
-"""Pause before a log whose write failed is opened again, in seconds."""
+REOPEN_DELAY_S = 0.5
+"""Delay before a log is reopened after a failed write, in seconds."""
 
 
 class LogHost:
-    """Opens the log, runs the core on it, and goes on after a failure of the disk.
+    """Opens the log, runs the consensus core on it, and recovers from failures of the disk.
 
     Parameters
     ----------
     identity : Identity
-        Who and where this VM is; names the data folder.
+        Identity of this VM, with its data folder.
     address_of : callable
         Returns ``host:port`` of a node, or None if it is not known.
     rng : random.Random
-        Source of all randomness.
+        Source of random choices.
     metrics : Metrics
-        Receiver of metrics.
+        Receives the metrics.
     listener : Listener
-        Hears of applied entries and changed roles.
+        Receives applied entries and changes of the role.
     on_reopened : callable
-        Called when the log was opened again.
+        Called after the log was reopened.
     traffic : Traffic or None
-        Counts the messages to other voters.
+        Counts the bytes and messages to other voters.
     """
 
     def __init__(
@@ -68,18 +68,18 @@
 
     @property
     def node_id(self) -> str:
-        """Identity of this node in the log; empty while there is none."""
+        """Id of this node in the log; empty while no log is open."""
         return self._store.node_id if self._store else ""
 
     def open(self) -> None:
-        """Open the log and start the core.
+        """Open the log and start the consensus core.
 
         Raises
         ------
         CorruptLog
-            Synced parts of the log are damaged and may not be replaced.
+            Synced parts of the log are damaged, and the settings do not allow to replace the log.
         StorageError
-            The data folder failed.
+            The data folder cannot be read or written.
         """
         folder, vm_id = self._identity.data_dir, self._identity.vm_id
         try:
@@ -93,31 +93,32 @@
         self._start_runner(self._store)
 
     def stop(self) -> None:
-        """Stop the core and close the log."""
+        """Stop the consensus core and close the log."""
         if self._reopen_task is not None:
             self._reopen_task.cancel()
         self._close()
 
     def reopen(self) -> None:
-        """Go on with what the disk holds, as after a restart, once it can be written again.
+        """Reopen the log, as after a restart, once the disk can be written again.
 
-        A full disk is a passing fault, and a stopped voter would be missing at the next one.
+        A full disk is a temporary fault. A voter that stayed stopped would be missing from the
+        quorum at the next fault.
         """
         if self._reopen_task is None:
             self._reopen_task = asyncio.ensure_future(self._reopen())
 
     async def _reopen(self) -> None:
         while True:
-            await asyncio.sleep(REOPEN_PAUSE_S)
+            await asyncio.sleep(REOPEN_DELAY_S)
             try:
                 self._close()
                 self.open()
             except (StorageError, OSError) as exc:
-                log.warning("consensus: the log cannot be opened yet: %s", exc)
+                log.warning("consensus: the log cannot be reopened yet: %s", exc)
                 continue
             except Exception:
-                # Nobody waits for this task, so it must not end while the voter is stopped.
-                log.exception("consensus: opening the log failed")
+                # Nothing awaits this task, so it must not end before the voter runs again.
+                log.exception("consensus: reopening the log failed")
                 continue
             self._reopen_task = None
             log.info("consensus: opened the log again")
--- a/bramleycrank/daemon/settings_file.py
+++ b/bramleycrank/daemon/settings_file.py
@@ -1,4 +1,4 @@
-"""A settings file that is noticed when it changes, with or without a signal."""
+"""Reads a settings file and detects its changes, with or without a signal."""
 
 from __future__ import annotations
 
@@ -13,28 +13,31 @@
 
 log = logging.getLogger(__name__)
 
-POLL_S = 1.0
-"""Time between two looks at the file, in seconds; seeds change seconds before they are needed."""
+POLL_INTERVAL_S = 1.0
+"""Interval between two checks of the file, in seconds.
+
+It has to be short, because seeds change only seconds before they are needed.
+"""
 
 Fingerprint = tuple[int, int, int]
-"""Inode, size and time of the last change of a file."""
+"""Inode, size and modification time of a file."""
 
 
 class SettingsFile:
-    """Reads a settings file at the start and again after each change.
+    """Reads a settings file, and reads it again after each change.
 
     Parameters
     ----------
     path : Path
-        The file.
+        Path of the settings file.
     load : callable
-        Reads the file; raises a `BramleycrankError` if it is not valid.
+        Parses the file; raises a `BramleycrankError` if it is not valid.
     """
 
     def __init__(self, path: Path, load: Callable[[Path], HttpNodeConfig]) -> None:
         self._path = path
         self._load = load
-        self._read: Fingerprint | None = None
+        self._loaded: Fingerprint | None = None
         self._last_seen: Fingerprint | None = None
 
     def load(self) -> HttpNodeConfig:
@@ -45,23 +48,23 @@
         BramleycrankError
             The file cannot be read or is not valid.
         """
-        self._read = self._last_seen = self._fingerprint()
+        self._loaded = self._last_seen = self._fingerprint()
         return self._load(self._path)
 
     def has_changed(self) -> bool:
-        """Whether the file differs from the one read, and has stayed so since the last look.
+        """Return whether the file differs from the loaded one and is the same as at the last check.
 
-        A file that is still being written is left alone until it rests.
+        A file that is still being written is not reported until two checks find it unchanged.
         """
-        now = self._fingerprint()
-        rests = now == self._last_seen
-        self._last_seen = now
-        return rests and now is not None and now != self._read
+        current = self._fingerprint()
+        is_stable = current == self._last_seen
+        self._last_seen = current
+        return is_stable and current is not None and current != self._loaded
 
     async def watch(self, on_change: Callable[[], None]) -> None:
         """Call back after each change, until cancelled."""
         while True:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self.has_changed():
                 on_change()
 
@@ -74,7 +77,7 @@
             return None
 
     def _fingerprint(self) -> Fingerprint | None:
-        """Return what tells versions of the file apart, or None while it cannot be read."""
+        """Return the identity of the file's current version, or None if it cannot be read."""
         try:
             status = os.stat(self._path)
         except OSError as exc:
--- a/bramleycrank/daemon/subscribers.py
+++ b/bramleycrank/daemon/subscribers.py
@@ -1,4 +1,4 @@
-"""Calls of subscribers."""
+"""Notification of subscribers."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def notify(callbacks: Iterable[Callable[..., None]], *args: object) -> None:
-    """Call all callbacks; one that fails must not stop the others or the caller."""
+    """Call all callbacks; an exception in one is logged and does not affect the others."""
     for callback in callbacks:
         try:
             callback(*args)
         except Exception:
-            log.exception("a subscriber failed")
+            log.exception("a subscriber raised an exception")
--- a/bramleycrank/daemon/target_link.py
+++ b/bramleycrank/daemon/target_link.py
@@ -1,4 +1,4 @@
-"""Everything that one VM has open towards one target: connections, requests, the monitor."""
+"""Connections, sub-requests and connection monitor of one VM for one target."""
 
 from __future__ import annotations
 
@@ -36,31 +36,31 @@
 
 log = logging.getLogger(__name__)
 
-# One connection for work and one for replacement: HTTP/2 multiplexes, so more give nothing.
+# One connection for sub-requests and one to replace it. HTTP/2 multiplexes, so two are enough.
 MAX_CONNECTIONS = 2
 
-# How long a request waits for a connection that is being opened or checked.
-HOLD_S = 0.5
+# Longest wait of a sub-request for a connection that is being opened or checked, in seconds.
+QUEUE_LIMIT_S = 0.5
 
-# A request without a reply is dropped this long after its own timeout.
-ABANDONED_AFTER_S = 2.0
+# Time after its timeout at which a sub-request without a reply is reported as failed, in seconds.
+REPLY_GRACE_S = 2.0
 
 _conn_ids = itertools.count(1)
 
 
 class Listener(Protocol):
-    """Receives the end of a sub-request."""
+    """Receives the outcome of a sub-request."""
 
     def on_reply(self, reply: SubReply) -> None:
-        """Take the reply."""
+        """Process the reply."""
 
     def on_failure(self, sub_id: int, reason: str) -> None:
-        """Take the failure; `reason` is a `FailureReason`."""
+        """Process the failure; `reason` is a `FailureReason`."""
 
 
 @attrs.frozen
 class LinkContext:
-    """What all links of a VM share."""
+    """Dependencies that all links of a VM share."""
 
     vm_id: str
     cfg: ConnectionConfig
@@ -75,25 +75,25 @@
 
 
 @attrs.define
-class _Sub:
-    """A sub-request without an end."""
+class _OpenSubRequest:
+    """A sub-request that has not ended."""
 
     request: SubRequest
     listener: Listener
     started: float
-    session: TargetSession | None = None  # None while it waits for a connection
+    session: TargetSession | None = None  # None: waits for a connection
     sent: bool = False
 
 
 class TargetLink:
-    """The connections and sub-requests of one VM to one target in one incarnation.
+    """The connections and sub-requests of one VM to one incarnation of a target.
 
     Parameters
     ----------
     record : TargetRecord
         The target.
     context : LinkContext
-        What all links share.
+        Dependencies that all links share.
     """
 
     def __init__(self, record: TargetRecord, context: LinkContext) -> None:
@@ -102,12 +102,12 @@
         self._context = context
         self._cfg = context.cfg
         self._clock = context.clock
-        self._subs: dict[int, _Sub] = {}
-        self._held: dict[int, None] = {}
+        self._subs: dict[int, _OpenSubRequest] = {}
+        self._queued: dict[int, None] = {}
         self._sessions: dict[int, TargetSession] = {}
         self._closing: set[TargetSession] = set()
         self._retired = False
-        self._next_sweep = 0.0
+        self._next_overdue_check = 0.0
         self.monitor = ConnectionMonitor(
             record.target_id,
             context.cfg,
@@ -120,10 +120,10 @@
     def _share(self) -> int:
         return min(MAX_CONNECTIONS, self._context.share(self._record.connections))
 
-    # Life.
+    # Life cycle.
 
     def serves(self, record: TargetRecord) -> bool:
-        """Return whether the link leads to the process that the record describes."""
+        """Return whether a record describes the process that the link connects to."""
         own = self._record
         return (own.host, own.port, own.incarnation) == (
             record.host,
@@ -132,38 +132,38 @@
         )
 
     def update(self, record: TargetRecord) -> None:
-        """Take a newer record of the same process."""
+        """Replace the record by a newer one of the same process."""
         self._record = record
 
     def retire(self) -> bool:
-        """Take no more work and drop what is not written; return whether something is open."""
+        """Refuse new sub-requests, fail unsent ones, and return whether the link is in use."""
         if self.monitor.down:
-            # Nothing else would end this state: the next link of the target begins as up.
-            self._report(False)
+            # The next link of the target starts as up, so nothing else would report the target up.
+            self._report_down(False)
         self._retired = True
         for sub_id in [i for i, sub in self._subs.items() if not sub.sent]:
-            self._give_up(sub_id)
+            self._abort(sub_id)
         self._close_if_idle()
         return not self.finished
 
     def resume(self) -> None:
-        """Take new work again; a second link would need connections of its own."""
+        """Accept sub-requests again, because a second link would need further connections."""
         self._retired = False
         if self.monitor.down:
-            self._report(True)
+            self._report_down(True)
 
-    def _report(self, down: bool) -> None:
+    def _report_down(self, down: bool) -> None:
         if not self._retired:
             self._context.on_down(self.target_id, down)
 
     @property
     def busy(self) -> bool:
-        """Whether sub-requests have not ended."""
+        """Whether sub-requests are open."""
         return bool(self._subs)
 
     @property
     def finished(self) -> bool:
-        """Whether a retired link has nothing open any more."""
+        """Whether the link is retired and all its connections are closed."""
         return self._retired and not self._sessions and not self._closing
 
     async def close(self) -> None:
@@ -184,30 +184,30 @@
     # Sub-requests.
 
     def send(self, request: SubRequest, listener: Listener) -> None:
-        """Send a sub-request, or hold it while a connection is being opened or checked."""
+        """Send a sub-request, or queue it while a connection is being opened or checked."""
         sub_id = request.sub_id
         conn_id = self.monitor.ready_conn
-        self._subs[sub_id] = sub = _Sub(request, listener, self._clock())
+        self._subs[sub_id] = sub = _OpenSubRequest(request, listener, self._clock())
         if conn_id is not None:
             sub.session = self._sessions[conn_id]
             sub.session.send(request)
         elif self.monitor.resolving:
-            self._held[sub_id] = None
+            self._queued[sub_id] = None
         else:
             self._fail(sub_id, FailureReason.NOT_SENT)
 
     def cancel(self, sub_id: int) -> None:
-        """Give up a sub-request without telling its listener."""
+        """Cancel a sub-request without a call to its listener."""
         sub = self._subs.pop(sub_id, None)
         if sub is None:
             return
-        self._held.pop(sub_id, None)
+        self._queued.pop(sub_id, None)
         if sub.session is not None:
             sub.session.cancel(sub_id)
-            self._note_done(sub, None)
+            self._record_end(sub, None)
         self._close_if_idle()
 
-    def _note_done(self, sub: _Sub, latency_s: float | None) -> None:
+    def _record_end(self, sub: _OpenSubRequest, latency_s: float | None) -> None:
         if sub.sent:
             self.monitor.on_done(sub.session.conn_id, self._clock(), latency_s)
 
@@ -215,35 +215,35 @@
         sub = self._subs.pop(sub_id, None)
         if sub is None:
             return
-        self._held.pop(sub_id, None)
-        self._note_done(sub, None)
+        self._queued.pop(sub_id, None)
+        self._record_end(sub, None)
         try:
             sub.listener.on_failure(sub_id, reason)
         except Exception:
-            log.exception("sessions: a listener failed")
+            log.exception("sessions: a listener raised an exception")
 
-    def _flush(self) -> None:
-        """Send the held requests, if there is a connection, or fail them, if there will be none."""
+    def _send_queued(self) -> None:
+        """Send the queued sub-requests on a ready connection, or fail them if none is expected."""
         conn_id = self.monitor.ready_conn
         if conn_id is not None:
-            for sub_id in self._held:
+            for sub_id in self._queued:
                 sub = self._subs[sub_id]
                 sub.session = self._sessions[conn_id]
                 sub.session.send(sub.request)
-            self._held.clear()
+            self._queued.clear()
         elif not self.monitor.resolving:
-            for sub_id in list(self._held):
+            for sub_id in list(self._queued):
                 self._fail(sub_id, FailureReason.NOT_SENT)
 
     # Session events.
 
     def on_open(self, session: TargetSession) -> None:
-        """Note that the target answered on a new connection."""
+        """Process the first message of the target on a new connection."""
         self._context.metrics.incr("connections.opened")
         self._execute(self.monitor.on_open(session.conn_id, self._clock()))
 
     def on_sent(self, session: TargetSession, requests: list[SubRequest]) -> None:
-        """Note that requests are being written."""
+        """Record that sub-requests are being written."""
         subs = self._subs
         count = 0
         for request in requests:
@@ -271,17 +271,17 @@
     def _deliver(self, reply: SubReply, now: float) -> None:
         sub = self._subs.pop(reply.sub_id, None)
         if sub is None:
-            return  # cancelled, or reported as failed before
-        self._note_done(sub, now - sub.started)
+            return  # Cancelled, or already reported as failed.
+        self._record_end(sub, now - sub.started)
         if reply.status == SUB_STATUS_LEAVING:
             self._context.on_leaving(self.target_id, self._record.incarnation)
         try:
             sub.listener.on_reply(reply)
         except Exception:
-            log.exception("sessions: a listener failed")
+            log.exception("sessions: a listener raised an exception")
 
     def on_closed(self, session: TargetSession, unsent: list[SubRequest], *, refused: bool) -> None:
-        """Report what was sent as failed; what was not is sent on another connection."""
+        """Report sent sub-requests as failed and queue unsent ones for another connection."""
         now = self._clock()
         known = self._sessions.pop(session.conn_id, None) is not None
         self._closing.discard(session)
@@ -292,47 +292,47 @@
                 actions = self.monitor.on_open_failed(now, refused=refused)
         else:
             actions = []
-        self._release(session, unsent)
+        self._requeue_or_fail(session, unsent)
         self._execute(actions)
 
-    def _release(self, session: TargetSession, unsent: list[SubRequest]) -> None:
+    def _requeue_or_fail(self, session: TargetSession, unsent: list[SubRequest]) -> None:
         for request in unsent:
             sub = self._subs.get(request.sub_id)
             if sub is not None:
                 sub.session = None
-                self._held[request.sub_id] = None
+                self._queued[request.sub_id] = None
         lost = [sub_id for sub_id, sub in self._subs.items() if sub.session is session]
         for sub_id in lost:
             self._fail(sub_id, FailureReason.CONNECTION_LOST)
         if self._retired:
-            for sub_id in list(self._held):
+            for sub_id in list(self._queued):
                 self._fail(sub_id, FailureReason.NOT_SENT)
 
     # Actions of the monitor.
 
     def tick(self, now: float) -> None:
-        """Run the monitor, and end requests that wait too long."""
+        """Run the monitor and fail overdue sub-requests."""
         if self._subs or not self._retired:
             self._execute(self.monitor.tick(now))
-        if now >= self._next_sweep:
-            self._next_sweep = now + 0.25
-            self._sweep(now)
+        if now >= self._next_overdue_check:
+            self._next_overdue_check = now + 0.25
+            self._fail_overdue(now)
 
-    def _sweep(self, now: float) -> None:
-        overdue = [i for i in self._held if now - self._subs[i].started > self._hold_s(i)]
+    def _fail_overdue(self, now: float) -> None:
+        overdue = [i for i in self._queued if now - self._subs[i].started > self._queue_limit_s(i)]
         for sub_id in overdue:
             self._fail(sub_id, FailureReason.NOT_SENT)
-        abandoned = [
+        unanswered = [
             sub_id
             for sub_id, sub in self._subs.items()
-            if now - sub.started > sub.request.timeout_ms / 1000 + ABANDONED_AFTER_S
+            if now - sub.started > sub.request.timeout_ms / 1000 + REPLY_GRACE_S
         ]
-        for sub_id in abandoned:
+        for sub_id in unanswered:
             self._fail(sub_id, FailureReason.CONNECTION_LOST)
         self._close_if_idle()
 
-    def _hold_s(self, sub_id: int) -> float:
-        return min(HOLD_S, self._subs[sub_id].request.timeout_ms / 1000)
+    def _queue_limit_s(self, sub_id: int) -> float:
+        return min(QUEUE_LIMIT_S, self._subs[sub_id].request.timeout_ms / 1000)
 
     def _execute(self, actions: Iterable[Any]) -> None:
         for action in actions:
@@ -344,15 +344,16 @@
                 case CloseConnection(conn_id=conn_id, reason=reason):
                     self._close(conn_id, reason)
                 case TargetDown():
-                    self._on_down()
+                    self._on_target_down()
                 case TargetUp():
-                    self._report(False)
-        if self._held:
-            self._flush()
+                    self._report_down(False)
+        if self._queued:
+            self._send_queued()
 
     def _open(self) -> None:
         if self._retired:
-            # Without a new connection to a target that leaves, reads give up its quiet one.
+            # A retired link opens no connections. Reported as a failure, this lets the monitor
+            # declare the target down, so that reads on a silent connection run elsewhere.
             return self._execute(self.monitor.on_open_failed(self._clock()))
         session = TargetSession(
             next(_conn_ids), self._record.host, self._record.port, self._context.vm_id, self
@@ -369,31 +370,31 @@
             self._context.metrics.incr("connections.silent")
         session.close(abort=silent)
 
-    def _on_down(self) -> None:
-        """Report reads in flight as failed, so that they run elsewhere.
+    def _on_target_down(self) -> None:
+        """Report idempotent sub-requests as failed, so that they run elsewhere.
 
-        A non-idempotent request (one with a key) waits on: the target may only be frozen, and its
-        reply is the only way to learn the outcome.
+        A non-idempotent one (with a request key) stays open: the target may only be frozen, and
+        only its reply shows the outcome.
         """
-        self._report(True)
+        self._report_down(True)
         for sub_id, sub in list(self._subs.items()):
             if not sub.request.request_key:
-                self._give_up(sub_id)
+                self._abort(sub_id)
 
-    def _give_up(self, sub_id: int) -> None:
-        """Drop a request that is not written, or cancel it, and report it as failed."""
+    def _abort(self, sub_id: int) -> None:
+        """Cancel a sub-request on its connection, if it has one, and report it as failed."""
         sub = self._subs[sub_id]
         if sub.session is not None:
             sub.session.cancel(sub_id)
         self._fail(sub_id, FailureReason.TARGET_DOWN if sub.sent else FailureReason.NOT_SENT)
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return connections and sub-requests with the reason of their state."""
+        """Return the state of connections and sub-requests in JSON form."""
         return {
             "target_id": self.target_id,
             "incarnation": self._record.incarnation,
             "retired": self._retired,
-            "in_flight": len(self._subs) - len(self._held),
-            "held": len(self._held),
+            "in_flight": len(self._subs) - len(self._queued),
+            "held": len(self._queued),
             **self.monitor.dump(now),
         }
--- a/bramleycrank/daemon/voter_changes.py
+++ b/bramleycrank/daemon/voter_changes.py
@@ -1,4 +1,4 @@
-"""Bootstrap of a cluster, and changes of its voting VMs."""
+"""Forms a cluster and changes its voters on behalf of operators."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 IDENTITY_TIMEOUT_S = 2.0
 BOOTSTRAP_TIMEOUT_S = 5.0
 
-# How often a change that has to wait is tried again, in seconds.
-RETRY_PAUSE_S = 0.1
+# Interval at which a delayed change is retried, in seconds.
+RETRY_DELAY_S = 0.1
 
-# Names the identifiers of clusters; any fixed value serves.
+# Namespace of the cluster identifiers. The value is arbitrary but must not change.
 CLUSTER_NAMESPACE = uuid.UUID("5f6c2a0e-6d0b-4c62-9a1e-0c5b1f3a7d11")
 
 
 def cluster_id_of(node_ids: Sequence[str]) -> str:
     """Return the identifier of the cluster that a set of first voters forms.
 
-    It depends on the voters only, so a resend of a bootstrap whose answer was lost names the
-    same cluster, and one with other voters is told from it.
+    It depends on the voters only. A bootstrap that is sent again after its reply was lost names the
+    same cluster, and a bootstrap with other voters names another one.
     """
     return str(uuid.uuid5(CLUSTER_NAMESPACE, "\n".join(sorted(node_ids))))
 
 
 class VoterChanges:
-    """Operators' changes of the voting VMs.
+    """Carries out operators' changes of the voters.
 
-    Each change of a membership runs on the leader and may be sent again: it goes on where the
-    earlier one stopped.
+    Each change of the members runs on the leader and may be sent again: it continues where the
+    earlier call stopped.
 
     Parameters
     ----------
     consensus : ConsensusController
-        This VM's part in the log.
+        The consensus node of this VM.
     clients : PeerClients
         Connections to other VMs.
     """
@@ -70,11 +70,11 @@
         Raises
         ------
         InvalidMembershipChange
-            The voters are too many, repeated or without a data folder, or lack this VM.
+            There are too many voters, one is repeated or has no data folder, or this VM is missing.
         AlreadyBootstrapped
             One of the VMs belongs to another cluster.
         PeerUnreachable
-            One of the VMs does not answer; the call may be sent again.
+            One of the VMs did not respond; the call may be sent again.
         """
         _check_addresses(addresses)
         voters = await asyncio.gather(*(self._identity_of(address) for address in addresses))
@@ -95,9 +95,9 @@
         Raises
         ------
         InvalidMembershipChange
-            The VM has no part in the log, or there are too many voters.
+            The VM may not vote, or there are too many voters.
         LearnerNotCaughtUp
-            The log did not catch up in time; the VM stays a learner and the call may be repeated.
+            The log did not catch up in time; the VM stays a learner and the call may be sent again.
         """
         deadline = asyncio.get_running_loop().time() + timeout_s
         newcomer = await self._newcomer(address)
@@ -111,14 +111,16 @@
         return await self._add(newcomer, deadline)
 
     async def remove(self, node_id: str, timeout_s: float) -> log_pb2.Membership:
-        """Remove a member; a leader that is to be removed hands the leadership over first.
+        """Remove a member; a leader that removes itself transfers the leadership instead.
 
         Raises
         ------
         NotFound
-            The node is no member.
+            The node is not a member.
         InvalidMembershipChange
             The node is the last voter.
+        NotLeader
+            This VM was the node to remove; send the call to the new leader.
         """
         deadline = asyncio.get_running_loop().time() + timeout_s
         members = {m.node_id: m for m in (await self._membership()).members}
@@ -133,27 +135,27 @@
         return await self._commit(Remove(node_id), deadline)
 
     async def replace(self, address: str, node_id: str, timeout_s: float) -> log_pb2.Membership:
-        """Add a VM, and remove another one after the promotion of the first is committed.
+        """Add a VM as a voter and, once its promotion is committed, remove another node.
 
         Raises
         ------
         NotFound
-            The node to be replaced is no member, and the VM at the address is no voter yet.
+            The node to replace is not a member, and the VM at the address is not a voter yet.
         """
         deadline = asyncio.get_running_loop().time() + timeout_s
         newcomer = await self._newcomer(address)
         members = {m.node_id: m for m in (await self._membership()).members}
-        done = newcomer.node_id in members and members[newcomer.node_id].voter
+        promoted = newcomer.node_id in members and members[newcomer.node_id].voter
         if newcomer.node_id == node_id:
             raise InvalidMembershipChange("a node cannot replace itself")
         if node_id not in members:
-            if done:
+            if promoted:
                 return await self._membership()
             raise NotFound(f"{node_id!r} is not a member")
         await self._add(newcomer, deadline)
-        left = deadline - asyncio.get_running_loop().time()
-        with _ran_in_part():
-            return await self.remove(node_id, max(left, 0.001))
+        left_s = deadline - asyncio.get_running_loop().time()
+        with _partly_committed():
+            return await self.remove(node_id, max(left_s, 0.001))
 
     async def _add(self, newcomer: peer_pb2.IdentityReply, deadline: float) -> log_pb2.Membership:
         node_id = newcomer.node_id
@@ -166,23 +168,23 @@
         if node_id not in members:
             await self._commit(AddLearner(_member(newcomer, voter=False)), deadline)
         log.info("consensus: %s is a learner", node_id)
-        with _ran_in_part():
+        with _partly_committed():
             return await self._commit(Promote(node_id), deadline)
 
     async def _commit(self, change: object, deadline: float) -> log_pb2.Membership:
-        """Commit one change; one that has to wait is tried again until the deadline."""
+        """Commit one change; a delayed one is retried until the deadline."""
         loop = asyncio.get_running_loop()
         while True:
-            left = max(deadline - loop.time(), 0.001)
+            left_s = max(deadline - loop.time(), 0.001)
             try:
-                return await self._consensus.change_membership(change, left)
+                return await self._consensus.change_membership(change, left_s)
             except (LearnerNotCaughtUp, MembershipChangeInProgress):
-                if deadline - loop.time() <= RETRY_PAUSE_S:
+                if deadline - loop.time() <= RETRY_DELAY_S:
                     raise
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _membership(self) -> log_pb2.Membership:
-        """Return the members, confirmed by a quorum."""
+        """Return the members as confirmed by a quorum."""
         await self._consensus.confirm_read(IDENTITY_TIMEOUT_S)
         return self._consensus.membership or log_pb2.Membership()
 
@@ -217,8 +219,8 @@
 
 
 @contextlib.contextmanager
-def _ran_in_part() -> Iterator[None]:
-    """Let no error say that nothing ran: an earlier step of the change is committed."""
+def _partly_committed() -> Iterator[None]:
+    """Set the outcome of errors to unknown, because an earlier step of the change is committed."""
     try:
         yield
     except BramleycrankError as exc:
--- a/bramleycrank/daemon/voter_keeper.py
+++ b/bramleycrank/daemon/voter_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the voters of the replicated log in order without an operator."""
+"""Maintains the members and voters of the replicated log without an operator."""
 
 from __future__ import annotations
 
@@ -24,33 +24,32 @@
 
 log = logging.getLogger(__name__)
 
-PERIOD_S = 0.2
-"""Time between two looks at the members, in seconds."""
+CHECK_PERIOD_S = 0.2
+"""Interval between two checks of the members, in seconds."""
 
 BOOTSTRAP_STAGGER_S = 1.0
-"""Time that each further seed leaves the ones before it to form the cluster, in seconds."""
+"""Time that each seed waits for every seed before it to form the cluster, in seconds."""
 
 CALL_TIMEOUT_S = 1.0
-"""Limit for one call to another VM and for one change of the members, in seconds."""
+"""Timeout of a call to another VM and of a change of the members, in seconds."""
 
 DEAD_AFTER_S = 3.0
-"""Silence after which a voter gives its place to a learner that is ready, in seconds.
+"""Silence after which a ready learner replaces a voter, in seconds.
 
-A longer election after a cut or a frozen VM is over by then; a voter that comes back later joins
-again as a learner with the log that it has.
+Even a long election after a partition or a frozen VM has ended by then. A voter that returns later
+joins again as a learner and keeps its log.
 """
 
-
 LOST_LEADER_S = 2.0
-"""Silence of the leader after which a member asks whether it still is one, in seconds.
+"""Silence of the leader after which a member requests to join again, in seconds.
 
-A VM that was cut off while it was removed never hears of its removal: the leader no longer sends to
-it, and its own log says that it is a member.
+A VM that is removed during a partition does not learn of its removal: the leader stops sending to
+it, and its own log still lists it as a member.
 """
 
 
 class Peers(Protocol):
-    """Other VMs."""
+    """Source of the addresses of other VMs."""
 
     def addresses(self) -> Sequence[str]:
         """Return the addresses of VMs that may be alive, without this one."""
@@ -58,14 +57,14 @@
 
 @attrs.frozen
 class VotingConfig:
-    """How the voters are found.
+    """Settings for the formation of the cluster.
 
     Parameters
     ----------
     bootstrap : bool
-        Whether the system starts for the first time.
+        Whether the cluster has to be formed, because the system starts for the first time.
     seeds : tuple of str
-        gRPC addresses of the first voters, equal on all VMs at the first start.
+        gRPC addresses of the first voters; the same on all VMs at the first start.
     """
 
     bootstrap: bool = False
@@ -80,12 +79,13 @@
 ) -> object | None:
     """Return the next change of the members that the leader should make, or None.
 
-    - A member whose VM came back with another disk, or whose address another VM has taken, is
-      removed at once: its old self never returns. It goes before its successor comes, so that the
-      number of voters that must answer never includes it.
-    - A newcomer becomes a learner.
-    - The number of voters is odd: with an even one a cut in two halves stops both.
-    - A voter that is silent gives its place to a learner that answers.
+    - A member whose VM returned with another disk, or whose address another VM uses, is removed at
+      once, because that node never returns. It is removed before its successor is added, so that
+      the quorum does not count it.
+    - A newcomer is added as a learner.
+    - The number of voters is odd: with an even number, a partition into two halves leaves neither
+      of them with a quorum.
+    - A silent voter is replaced by a learner that responds.
 
     Parameters
     ----------
@@ -94,29 +94,31 @@
     own_id : str
         Node id of the leader.
     silent_s : dict
-        Seconds since each member answered last.
+        Time since the last message of each member, in seconds, by node id.
     newcomers : sequence of Member
-        VMs that asked to become members.
+        VMs that requested to become members.
     """
     ids = {member.node_id for member in members}
-    joining = [item for item in newcomers if item.node_id not in ids]
-    for newcomer in joining:
+    unadmitted = [item for item in newcomers if item.node_id not in ids]
+    for newcomer in unadmitted:
         for member in members:
-            if member.node_id != own_id and _succeeds(newcomer, member):
+            if member.node_id != own_id and _replaces(newcomer, member):
                 return Remove(member.node_id)
-    if joining:
-        return AddLearner(joining[0])
+    if unadmitted:
+        return AddLearner(unadmitted[0])
     voters = [member for member in members if member.voter]
-    ready = [m for m in members if not m.voter and silent_s.get(m.node_id, 0.0) < PERIOD_S * 5]
+    ready = [
+        m for m in members if not m.voter and silent_s.get(m.node_id, 0.0) < CHECK_PERIOD_S * 5
+    ]
     dead = [m for m in voters if silent_s.get(m.node_id, 0.0) > DEAD_AFTER_S]
     if ready and dead:
         return Remove(dead[0].node_id)
-    if ready and len(voters) < _wanted_voters(len(voters) + len(ready)):
-        return Promote(min(ready, key=lambda m: _crowding(m, voters)).node_id)
+    if ready and len(voters) < _desired_voter_count(len(voters) + len(ready)):
+        return Promote(min(ready, key=lambda m: _promotion_order(m, voters)).node_id)
     return None
 
 
-def _succeeds(newcomer: log_pb2.Member, member: log_pb2.Member) -> bool:
+def _replaces(newcomer: log_pb2.Member, member: log_pb2.Member) -> bool:
     same_vm = _vm_of(newcomer.node_id) == _vm_of(member.node_id)
     return same_vm or (newcomer.host, newcomer.port) == (member.host, member.port)
 
@@ -125,30 +127,30 @@
     return node_id.partition("/")[0]
 
 
-def _wanted_voters(candidates: int) -> int:
+def _desired_voter_count(candidates: int) -> int:
     return min(candidates - (candidates + 1) % 2, MAX_VOTERS)
 
 
-def _crowding(member: log_pb2.Member, voters: Sequence[log_pb2.Member]) -> tuple[int, str]:
-    """Order learners by the number of voters in their failure domain."""
+def _promotion_order(member: log_pb2.Member, voters: Sequence[log_pb2.Member]) -> tuple[int, str]:
+    """Return the sort key of a learner: the number of voters in its domain, then its node id."""
     return sum(voter.domain == member.domain for voter in voters), member.node_id
 
 
 class VoterKeeper:
-    """Forms the cluster at the first start, joins it later, and as the leader admits others.
+    """Forms the cluster at the first start, joins it later, and changes its members as the leader.
 
     Parameters
     ----------
     cfg : VotingConfig
-        How the voters are found.
+        Settings for the formation of the cluster.
     consensus : ConsensusController
-        This VM's part in the log.
+        The consensus node of this VM.
     changes : VoterChanges
         Forms clusters.
     clients : PeerClients
         Connections to other VMs.
     peers : Peers
-        Other VMs.
+        Source of the addresses of other VMs.
     rng : random.Random
         Source of random choices.
     """
@@ -173,23 +175,23 @@
         self._started_at = asyncio.get_running_loop().time()
 
     def start(self) -> None:
-        """Start to look after the members."""
+        """Start the periodic checks, unless this VM may not vote."""
         if self._consensus.node_id:
             self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop the periodic checks."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def on_join(self, identity: peer_pb2.IdentityReply) -> None:
-        """Take a VM's wish to become a member; it is granted within a few periods.
+        """Record a VM's request to become a member; later checks add it.
 
         Raises
         ------
         NotLeader
-            This VM does not lead.
+            This VM is not the leader.
         """
         self._consensus.require_leader()
         self._newcomers[identity.vm_id] = log_pb2.Member(
@@ -200,22 +202,22 @@
         )
 
     def dump(self) -> dict[str, object]:
-        """Return who waits to become a member."""
+        """Return the VMs that wait to become members, in JSON form."""
         return {"newcomers": sorted(m.node_id for m in self._newcomers.values())}
 
     async def _run(self) -> None:
         while True:
             try:
-                await self._look()
+                await self._check_members()
             except (MembershipChangeInProgress, LearnerNotCaughtUp) as exc:
-                log.debug("voters: change has to wait: %s", exc)
+                log.debug("voters: change of the members is delayed: %s", exc)
             except BramleycrankError as exc:
                 log.info("voters: %s", exc)
             except Exception:
-                log.exception("voters: look failed")
-            await asyncio.sleep(PERIOD_S)
+                log.exception("voters: check of the members failed")
+            await asyncio.sleep(CHECK_PERIOD_S)
 
-    async def _look(self) -> None:
+    async def _check_members(self) -> None:
         consensus = self._consensus
         membership = consensus.membership
         if membership is None and self._may_bootstrap():
@@ -223,18 +225,18 @@
         elif membership is None or consensus.node_id not in {m.node_id for m in membership.members}:
             await self._join()
         elif consensus.is_leader:
-            await self._change(membership)
+            await self._change_members(membership)
         elif consensus.leader_silence_s() > LOST_LEADER_S:
             await self._join()
 
     def _may_bootstrap(self) -> bool:
-        """Whether this VM is one of the first voters, and the seeds before it had their time."""
+        """Return whether this VM is a seed and has waited for the seeds before it."""
         own = self._consensus.identity.address
         order = sorted(self._cfg.seeds)
         if not self._cfg.bootstrap or own not in order:
             return False
-        waited_s = asyncio.get_running_loop().time() - self._started_at
-        return waited_s >= order.index(own) * BOOTSTRAP_STAGGER_S
+        elapsed_s = asyncio.get_running_loop().time() - self._started_at
+        return elapsed_s >= order.index(own) * BOOTSTRAP_STAGGER_S
 
     async def _bootstrap(self) -> None:
         membership = await self._changes.bootstrap(sorted(self._cfg.seeds))
@@ -247,11 +249,11 @@
         request = peer_pb2.JoinRequest(identity=self._consensus.on_identity())
         leader = self._consensus.leader_address()
         others = list(self._peers.addresses())
-        # The own log may name a leader that is gone, so others are asked too.
-        known = bool(leader) and (not others or self._rng.random() < 0.5)
-        if not known and not others:
+        # The leader in the own log may have failed, so half of the requests go to other VMs.
+        use_leader = bool(leader) and (not others or self._rng.random() < 0.5)
+        if not use_leader and not others:
             return
-        address = leader if known else self._rng.choice(others)
+        address = leader if use_leader else self._rng.choice(others)
         try:
             await self._clients.stub(address).Join(request, timeout=CALL_TIMEOUT_S)
         except NotLeader as exc:
@@ -259,7 +261,7 @@
                 stub = self._clients.stub(exc.leader_address)
                 await stub.Join(request, timeout=CALL_TIMEOUT_S)
 
-    async def _change(self, membership: log_pb2.Membership) -> None:
+    async def _change_members(self, membership: log_pb2.Membership) -> None:
         change = next_change(
             membership.members,
             self._consensus.node_id,
