--- a/tests/test_daemon_life_cycle.py
+++ b/tests/test_daemon_life_cycle.py
@@ -1,4 +1,4 @@
-"""The order of a stop, and what an operator's drain may and may not do."""
+"""Tests the order of the steps of a stop, and the effects of an operator's drain."""
 
 import asyncio
 import gc
@@ -9,7 +9,7 @@
 
 
 class Steps:
-    """Records the steps and fails or blocks in chosen ones."""
+    """Records the calls of steps; selected steps fail or block."""
 
     def __init__(self, fail=(), block=(), fail_late=()):
         self.calls = []
@@ -34,7 +34,7 @@
         return step
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(2):
         while not condition():
             await asyncio.sleep(0.001)
@@ -53,15 +53,16 @@
 
 
 @pytest.mark.parametrize("fail", [(), ("transfer_leadership", "leave", "finish_requests")])
-def test_stop_goes_through_all_steps_in_order_even_if_some_fail(fail):
-    # A stop that skips a step cuts requests, leaves a leaderless time or a stale VM record.
+def test_stop_runs_all_steps_in_order_even_if_some_fail(fail):
+    # A stop that skips a step aborts requests, leaves no leader for a time, or leaves a stale VM
+    # record.
     async def scenario(life, steps):
         life.start()
-        await until(life.ready)
+        await wait_until(life.ready)
         steps.calls.clear()
         life.stop()
         assert not life.ready()
-        assert steps.calls == []  # Still accepting during the notice.
+        assert steps.calls == []  # Still accepts requests during the notice period.
         await life.finished.wait()
         assert steps.calls == ["draining=True", *STOP]
         assert life.state == "stopped"
@@ -69,12 +70,12 @@
     run(scenario, fail=fail)
 
 
-def test_requests_in_flight_hold_up_the_stop():
+def test_stop_waits_for_requests_in_flight():
     async def scenario(life, steps):
         life.start()
-        await until(life.ready)
+        await wait_until(life.ready)
         life.stop()
-        await until(lambda: "finish_requests" in steps.calls)
+        await wait_until(lambda: "finish_requests" in steps.calls)
         await asyncio.sleep(0.05)
         assert life.state == "draining" and "close" not in steps.calls
         steps.release.set()
@@ -86,7 +87,7 @@
 def test_repeated_stop_runs_the_steps_once():
     async def scenario(life, steps):
         life.start()
-        await until(life.ready)
+        await wait_until(life.ready)
         for _ in range(3):
             life.stop()
         await life.finished.wait()
@@ -96,12 +97,12 @@
     run(scenario)
 
 
-def test_operator_drain_is_reversible_and_gives_up_leadership():
+def test_operator_drain_is_reversible_and_transfers_the_leadership():
     async def scenario(life, steps):
         life.start()
-        await until(life.ready)
+        await wait_until(life.ready)
         life.set_operator_drain(True)
-        await until(lambda: "transfer_leadership" in steps.calls)
+        await wait_until(lambda: "transfer_leadership" in steps.calls)
         assert life.state == "drained" and not life.ready()
         assert "stop_listening" not in steps.calls
         life.set_operator_drain(False)
@@ -110,26 +111,26 @@
     run(scenario)
 
 
-def test_drain_known_before_joining_takes_effect_on_joining():
+def test_drain_before_the_join_takes_effect_after_it():
     async def scenario(life, steps):
         life.start()
-        await until(lambda: "join" in steps.calls)
+        await wait_until(lambda: "join" in steps.calls)
         life.set_operator_drain(True)
         steps.release.set()
-        await until(lambda: life.state == "drained")
+        await wait_until(lambda: life.state == "drained")
 
     run(scenario, block=("join",))
 
 
 def test_stop_while_joining_finishes_requests_without_notice():
-    # A configuration may be in force while the VM waits for sessions, and callers that the load
-    # balancer still sends after a quick restart are served. The notice is for a ready VM.
+    # A configuration may be in force while the VM waits for sessions, and requests that the load
+    # balancer still sends after a quick restart are served. The notice period is for ready VMs.
     async def scenario(life, steps):
         life.start()
-        await until(lambda: "join" in steps.calls)
+        await wait_until(lambda: "join" in steps.calls)
         steps.calls.clear()
         life.stop()
-        await until(lambda: "finish_requests" in steps.calls)
+        await wait_until(lambda: "finish_requests" in steps.calls)
         await asyncio.sleep(0.05)
         assert life.state == "draining" and "close" not in steps.calls
         steps.release.set()
@@ -139,10 +140,10 @@
     run(scenario, block=("join", "finish_requests"), notice_s=60)
 
 
-def test_stop_before_a_configuration_is_in_force_ends():
+def test_stop_completes_before_a_configuration_is_in_force():
     async def scenario(life, steps):
         life.start()
-        await until(lambda: "join" in steps.calls)
+        await wait_until(lambda: "join" in steps.calls)
         life.stop()
         await asyncio.wait_for(life.finished.wait(), 1.0)
         assert steps.calls[-1] == "close"
@@ -150,7 +151,7 @@
     run(scenario, block=("join",), notice_s=60)
 
 
-def test_failed_start_closes_and_reports_the_failure():
+def test_failed_start_closes_all_parts_and_reports_the_failure():
     async def scenario(life, steps):
         life.start()
         await life.finished.wait()
@@ -159,32 +160,32 @@
     run(scenario, fail=("start_parts",))
 
 
-def test_stop_during_the_start_is_no_failure():
+def test_stop_during_the_start_is_not_reported_as_a_failure():
     async def scenario(life, steps):
         life.start()
-        await until(lambda: "start_parts" in steps.calls)
+        await wait_until(lambda: "start_parts" in steps.calls)
         life.stop()
         steps.release.set()
         await life.finished.wait()
         await asyncio.sleep(0)
         assert life.failure is None and steps.calls[-1] == "close"
 
-    # The start fails because the stop closes what it uses.
+    # The start fails because the stop closes resources that the start uses.
     run(scenario, block=("start_parts",), fail_late=("start_parts",))
 
 
-def test_no_full_collection_visits_what_was_there_before_the_vm_was_ready():
-    """Load pattern: the first requests, whose garbage starts a full collection.
+def test_full_collection_skips_objects_created_before_the_vm_was_ready():
+    """Load pattern: the first requests, whose garbage triggers a full collection.
 
-    Over the 50,000 objects of a VM it took 150 to 330 ms on half a core.
+    A collection over the 50,000 objects of a VM took 150 to 330 ms on half a core.
     """
 
     async def scenario(life, steps):
         life.start()
-        await until(life.ready)
+        await wait_until(life.ready)
         assert len(gc.get_objects()) < 1000 < gc.get_freeze_count()
         life.stop()
-        await until(life.finished.is_set)
+        await wait_until(life.finished.is_set)
         assert gc.get_freeze_count() == 0
 
     run(scenario)
--- a/tests/test_daemon_log_recovery.py
+++ b/tests/test_daemon_log_recovery.py
@@ -1,4 +1,4 @@
-"""A voter whose disk is full for a while, and one whose log is damaged."""
+"""Tests the recovery of a voter from a full disk and from a damaged log."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from bramleycrank.storage.segment import Segment
 
 
-class NoDirectory:
-    """Knows no other VM."""
+class EmptyDirectory:
+    """A directory without other VMs."""
 
     def leader_address(self) -> str:
         return ""
@@ -39,7 +39,7 @@
         vote=True,
         replace_damaged=replace_damaged,
     )
-    controller = ConsensusController(identity, NoDirectory(), None, random.Random(1))
+    controller = ConsensusController(identity, EmptyDirectory(), None, random.Random(1))
     await controller.start()
     return controller
 
@@ -49,7 +49,7 @@
     return log_pb2.Command(change=log_pb2.Change(change_id=f"c{version}", put_routes=table))
 
 
-async def lead(controller: ConsensusController) -> None:
+async def wait_for_leadership(controller: ConsensusController) -> None:
     async with asyncio.timeout(5):
         while not controller.is_leader or controller.confirmed_at() is None:
             await asyncio.sleep(0.01)
@@ -58,21 +58,21 @@
 async def bootstrap(controller: ConsensusController) -> None:
     members = [log_pb2.Member(node_id=controller.node_id, host="127.0.0.1", port=7, voter=True)]
     controller.on_bootstrap(log_pb2.Membership(cluster_id="c", members=members))
-    await lead(controller)
+    await wait_for_leadership(controller)
 
 
-def test_a_voter_goes_on_when_its_disk_takes_bytes_again(tmp_path, monkeypatch):
-    """Guards against a voter that is missing for good after a disk was full for a moment."""
-    monkeypatch.setattr(log_host, "REOPEN_PAUSE_S", 0.05)
+def test_voter_recovers_once_its_disk_is_writable_again(tmp_path, monkeypatch):
+    """Guards against a voter that stays stopped after its disk was full for a short time."""
+    monkeypatch.setattr(log_host, "REOPEN_DELAY_S", 0.05)
     full = [False]
     append = Segment.append
 
-    def guarded(self: Segment, action: object) -> None:
+    def append_unless_full(self: Segment, action: object) -> None:
         if full[0]:
             raise OSError(28, "No space left on device")
         append(self, action)
 
-    monkeypatch.setattr(Segment, "append", guarded)
+    monkeypatch.setattr(Segment, "append", append_unless_full)
 
     async def body() -> None:
         controller = await start(tmp_path / "data")
@@ -84,7 +84,7 @@
         assert not controller.is_leader
         await asyncio.sleep(0.3)
         full[0] = False
-        await lead(controller)
+        await wait_for_leadership(controller)
         assert controller.state.config.routes.version == 1
         await controller.propose_local("p3", put(3), 2.0)
         await controller.stop()
@@ -92,9 +92,9 @@
     asyncio.run(body())
 
 
-def test_a_voter_goes_on_when_closing_its_log_fails_too(tmp_path, monkeypatch):
-    """Guards against a voter that is missing for good: what is buffered is written at the close."""
-    monkeypatch.setattr(log_host, "REOPEN_PAUSE_S", 0.05)
+def test_voter_recovers_if_closing_its_log_fails_too(tmp_path, monkeypatch):
+    """Guards against a voter that stays stopped because writing a buffer at the close fails."""
+    monkeypatch.setattr(log_host, "REOPEN_DELAY_S", 0.05)
 
     async def body() -> None:
         controller = await start(tmp_path / "data")
@@ -105,7 +105,7 @@
         segment._file = open("/dev/full", "ab")  # noqa: SIM115
         with pytest.raises(BramleycrankError):
             await controller.propose_local("p2", put(2), 1.0)
-        await lead(controller)
+        await wait_for_leadership(controller)
         assert controller.state.config.routes.version == 1
         await controller.propose_local("p3", put(3), 2.0)
         await controller.stop()
@@ -113,19 +113,19 @@
     asyncio.run(body())
 
 
-def test_a_batch_that_was_not_written_whole_leaves_nothing_to_write_at_the_close(tmp_path):
+def test_partly_written_batch_leaves_no_buffer_to_write_at_close(tmp_path):
     async def body() -> None:
         controller = await start(tmp_path / "data")
         await bootstrap(controller)
         segment = controller._host._store._segment
-        assert segment._file.fileno() and not hasattr(segment._file, "raw"), "no buffer"
+        assert segment._file.fileno() and not hasattr(segment._file, "raw"), "the file has a buffer"
         await controller.stop()
 
     asyncio.run(body())
 
 
 def damage(folder: Path) -> None:
-    """Flip a byte early in the log, as only damage to synced data does."""
+    """Flip a byte near the start of the log, where data has been synced."""
     [path] = folder.glob("log-*")
     data = bytearray(path.read_bytes())
     data[12] ^= 0xFF
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("replace_damaged", [True, False])
-def test_a_damaged_log_never_votes_under_its_former_name(tmp_path, replace_damaged):
+def test_voter_with_a_damaged_log_never_votes_under_its_former_node_id(tmp_path, replace_damaged):
     folder = tmp_path / "data"
 
     async def body() -> None:
--- a/tests/test_daemon_proposal_router.py
+++ b/tests/test_daemon_proposal_router.py
@@ -1,4 +1,4 @@
-"""Which failures of a proposal are "never proposed" and which "may still be committed"."""
+"""Tests which failed proposals are reported as not run and which as of unknown outcome."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class Cluster:
-    """Answers proposals by address from a script; the last step of a script repeats."""
+    """Replies to proposals from a script for each address; the last step of a script repeats."""
 
     def __init__(self, leader="", **script):
         self.leader = leader
@@ -38,7 +38,7 @@
 
     async def Propose(self, request, *, timeout):  # noqa: N802
         if self.script[self.address] == [FROZEN]:
-            self.leader = "b"  # Elected while the call waits.
+            self.leader = "b"  # Elected while the call is open.
             await asyncio.sleep(timeout)
             raise LOST
         return peer_pb2.ProposeReply(result=self.step(self.address, request.proposal_id))
@@ -69,20 +69,20 @@
         return asyncio.run(body())
 
 
-def test_leader_on_this_vm_is_asked_directly():
+def test_leader_on_this_vm_is_called_directly():
     cluster = Cluster("own", own=[OK])
     assert cluster.propose().revision == 7
 
 
-def test_hint_of_another_vm_is_followed():
+def test_router_follows_a_leader_hint():
     cluster = Cluster("a", a=[NotLeader(leader_address="b")], b=[OK])
     assert cluster.propose().revision == 7
     assert [address for address, _ in cluster.calls] == ["a", "b"]
 
 
-def test_vms_that_name_each_other_are_not_asked_without_pause():
-    # While no leader stands, each may still take the other one for it; all VMs with a proposal
-    # would call both as fast as they answer.
+def test_vms_that_name_each_other_as_leader_are_not_called_without_delay():
+    # Without a leader, each VM may still name the other one. All VMs with a proposal would call
+    # both in a busy loop.
     a, b = NotLeader(leader_address="b"), NotLeader(leader_address="a")
     cluster = Cluster("a", a=[a], b=[b])
     with pytest.raises(NoQuorum):
@@ -91,33 +91,33 @@
 
 
 def test_retries_keep_the_proposal_id():
-    # Another id would let a second copy of a claim win against the first.
+    # With another id, a second copy of a claim counts as a competing claim and could win.
     cluster = Cluster("a", a=[LOST, UNRESOLVED, NOT_SENT, OK])
     assert cluster.propose(1.0).revision == 7
     assert len({proposal_id for _, proposal_id in cluster.calls}) == 1
 
 
 @pytest.mark.parametrize("error", [NOT_SENT, NotLeader(), NotLeader(leader_address="a")])
-def test_command_that_reached_no_log_is_no_quorum(error):
+def test_command_that_reached_no_log_fails_with_no_quorum(error):
     with pytest.raises(NoQuorum) as caught:
         Cluster("a", a=[error]).propose()
     assert caught.value.outcome is Outcome.NOT_RUN
 
 
-def test_without_any_known_vm_is_no_quorum():
+def test_proposal_without_any_known_vm_fails_with_no_quorum():
     with pytest.raises(NoQuorum):
         Cluster().propose(candidates=())
 
 
 @pytest.mark.parametrize("error", [LOST, UNRESOLVED])
-def test_command_that_may_be_in_a_log_stays_unknown(error):
-    # Later attempts that provably reached no log do not make the first one undone.
+def test_command_that_may_be_in_a_log_has_unknown_outcome(error):
+    # Later attempts that certainly reached no log do not settle the outcome of the first one.
     with pytest.raises(ProposalOutcomeUnknown):
         Cluster("a", a=[error, NOT_SENT]).propose()
 
 
-def test_frozen_leader_does_not_use_up_the_deadline(monkeypatch):
-    monkeypatch.setattr(proposal_router, "ATTEMPT_S", 0.1)
+def test_frozen_leader_leaves_time_for_the_next_leader(monkeypatch):
+    monkeypatch.setattr(proposal_router, "ATTEMPT_TIMEOUT_S", 0.1)
     assert Cluster("a", a=[FROZEN], b=[OK]).propose(2.0).revision == 7
 
 
--- a/tests/test_daemon_voter_changes.py
+++ b/tests/test_daemon_voter_changes.py
@@ -1,4 +1,4 @@
-"""Refusals and repetitions of a bootstrap and of changes of the voters, with a fake log."""
+"""Tests refused and repeated bootstraps and voter changes against a fake consensus node."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class Cluster:
-    """VMs 1 to 9, of which VM 1 is called; also stands for the clients of VM 1."""
+    """VMs 1 to 9, of which VM 1 is called; also acts as the clients of VM 1."""
 
     def __init__(self, voters=()):
         self.identity = Identity(vm_id="vm1", domain="a", host="127.0.0.1", port=7001)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    "numbers, part",
+    "numbers, text",
     [
         ([], "no address"),
         ([1, 1], "twice"),
@@ -102,14 +102,14 @@
         ([2, 3], "lack"),
     ],
 )
-def test_bootstrap_refuses_wrong_voters(numbers, part):
+def test_bootstrap_refuses_invalid_voters(numbers, text):
     cluster = Cluster()
-    with pytest.raises(InvalidMembershipChange, match=part):
+    with pytest.raises(InvalidMembershipChange, match=text):
         cluster.run("bootstrap", [address(n) for n in numbers])
     assert cluster.bootstrapped == {}
 
 
-def test_bootstrap_refuses_a_vm_that_may_not_vote_and_one_of_another_cluster():
+def test_bootstrap_refuses_vms_that_may_not_vote_or_belong_to_another_cluster():
     cluster = Cluster()
     cluster.identities[address(2)].node_id = ""
     with pytest.raises(InvalidMembershipChange, match="may not vote"):
@@ -120,7 +120,7 @@
     assert cluster.bootstrapped == {}
 
 
-def test_bootstrap_that_reached_some_vms_goes_on_when_sent_again():
+def test_bootstrap_that_reached_some_vms_continues_when_sent_again():
     cluster = Cluster()
     cluster.unreachable = {address(3)}
     addresses = [address(n) for n in (1, 2, 3)]
@@ -133,7 +133,7 @@
     assert membership.cluster_id == cluster_id_of([f"vm{n}/disk" for n in (3, 1, 2)])
 
 
-def test_promotion_is_repeated_until_the_learner_has_caught_up():
+def test_promotion_is_retried_until_the_learner_has_caught_up():
     cluster = Cluster(voters=(1, 2, 3))
     cluster.run("add", address(5), 5.0)
     cluster.errors = [LearnerNotCaughtUp()]
@@ -141,7 +141,7 @@
     assert [type(c) for c in cluster.changes] == [AddLearner, Promote] * 2
 
 
-def test_learner_that_never_catches_up_is_a_typed_error_and_no_voter():
+def test_replace_fails_and_keeps_the_members_if_the_learner_never_catches_up():
     cluster = Cluster(voters=(1, 2, 3))
     membership = cluster.membership
     cluster.errors = [LearnerNotCaughtUp() for _ in range(100)]
@@ -150,7 +150,7 @@
     assert cluster.membership == membership
 
 
-def test_replace_removes_the_old_voter_after_the_promotion_only():
+def test_replace_removes_the_old_voter_only_after_the_promotion():
     cluster = Cluster(voters=(1, 2, 3))
     cluster.run("replace", address(4), "vm3/disk", 5.0)
     assert [type(c) for c in cluster.changes] == [AddLearner, Promote, Remove]
@@ -158,19 +158,19 @@
     assert again == cluster.membership and len(cluster.changes) == 3
 
 
-@pytest.mark.parametrize("done", [1, 2])
-def test_change_that_ran_in_part_is_not_said_not_to_have_run(done):
-    # The learner is a member, or a voter beside the old one, although the last step was refused.
-    class PartlyRefusing(Cluster):
+@pytest.mark.parametrize("committed_steps", [1, 2])
+def test_partly_committed_change_has_unknown_outcome(committed_steps):
+    # The last step is refused after the new VM became a learner, or a voter beside the old one.
+    class RefusesLastStep(Cluster):
         async def change_membership(self, change, timeout_s):
-            if len(self.changes) == done:
+            if len(self.changes) == committed_steps:
                 raise InvalidMembershipChange(outcome=Outcome.NOT_RUN)
             return await super().change_membership(change, timeout_s)
 
-    cluster = PartlyRefusing(voters=(1, 2, 3))
+    cluster = RefusesLastStep(voters=(1, 2, 3))
     with pytest.raises(InvalidMembershipChange) as caught:
         cluster.run("replace", address(4), "vm3/disk", 5.0)
-    assert caught.value.outcome is Outcome.UNKNOWN and len(cluster.changes) == done
+    assert caught.value.outcome is Outcome.UNKNOWN and len(cluster.changes) == committed_steps
 
 
 @pytest.mark.parametrize(
@@ -184,14 +184,14 @@
         ((1, 2), ("add", "name:1", 1.0), InvalidMembershipChange),
     ],
 )
-def test_refused_changes_change_nothing(voters, call, error):
+def test_refused_changes_leave_the_members_unchanged(voters, call, error):
     cluster = Cluster(voters)
     with pytest.raises(error):
         cluster.run(*call)
     assert cluster.changes in ([], ["transfer"])
 
 
-def test_vm_with_a_lost_disk_is_not_added_beside_its_old_node():
+def test_vm_with_a_new_disk_is_not_added_while_its_old_node_is_a_member():
     cluster = Cluster(voters=(1, 2, 3))
     cluster.identities[address(3)].node_id = "vm3/new"
     with pytest.raises(InvalidMembershipChange, match="replace"):
--- a/tests/test_entry_controller.py
+++ b/tests/test_entry_controller.py
@@ -1,4 +1,4 @@
-"""The HTTP entry with the platform's headers, over loopback, against scripted targets."""
+"""Tests the HTTP entry with the platform's headers over loopback against scripted targets."""
 
 from __future__ import annotations
 
@@ -58,8 +58,8 @@
 )
 
 
-class World:
-    """One entry VM and its targets."""
+class EntryVm:
+    """An entry VM and its targets, all on loopback."""
 
     def __init__(self, **scripts) -> None:
         self.fakes = {name: FakeTarget(script) for name, script in scripts.items()}
@@ -83,7 +83,7 @@
             if name[0] == service
         ]
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> EntryVm:
         for fake in self.fakes.values():
             await fake.start()
         routes = SimpleNamespace(routes=lambda: self.table, subscribe=self.callbacks.append)
@@ -118,12 +118,12 @@
         return await call(self.port, raw.encode())
 
 
-def run(scenario, kind=World, **scripts):
-    """Run a scenario in a world with the given targets."""
+def run(scenario, vm_class=EntryVm, **scripts):
+    """Run a scenario with an entry VM and targets that follow the given scripts."""
 
     async def body():
-        async with asyncio.timeout(20), kind(**scripts) as world:
-            return await scenario(world)
+        async with asyncio.timeout(20), vm_class(**scripts) as vm:
+            return await scenario(vm)
 
     return asyncio.run(body())
 
@@ -132,15 +132,15 @@
     return int(response.split(b" ", 2)[1])
 
 
-def test_method_path_body_and_headers_reach_the_target_and_the_answer_the_caller():
-    async def scenario(world):
+def test_request_reaches_the_target_and_response_reaches_the_caller_unchanged_but_for_hop_headers():
+    async def scenario(vm):
         raw = (
             b"POST /one/a?b=c HTTP/1.1\r\nHost: h\r\nX-Request-Id: r7\r\nX-Deadline-Ms: 800\r\n"
             b"X-Own: kept\r\nConnection: X-Hop\r\nX-Hop: dropped\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
-        response = await call(world.port, raw)
-        [request] = world.fakes["a1"].requests
+        response = await call(vm.port, raw)
+        [request] = vm.fakes["a1"].requests
         assert request.startswith(b"POST /one/a?b=c HTTP/1.1\r\n") and request.endswith(b"abcde")
         assert header(request, b"X-Own") == b"kept" and not header(request, b"X-Hop")
         assert header(request, b"X-Expect-Instance") == b"a1"
@@ -151,9 +151,9 @@
     run(scenario, a1=ok)
 
 
-def test_parts_of_all_shards_are_merged_with_their_receipts():
-    async def scenario(world):
-        response = await world.get("/all/q")
+def test_replies_of_all_shards_are_merged_and_receipts_are_listed():
+    async def scenario(vm):
+        response = await vm.get("/all/q")
         assert header(response, b"X-Part-Stamps") == b"stamp, stamp"
         assert header(response, b"X-Missing-Parts") == b"0"
         assert response.endswith(b"\r\n\r\n" + b"b" * 16 + b"a" * 16)
@@ -161,9 +161,9 @@
     run(scenario, a1=lambda r: ok(r, b"a" * 16), b1=lambda r: ok(r, b"b" * 16))
 
 
-def test_a_missing_shard_is_told():
-    async def scenario(world):
-        response = await world.get("/all/q")
+def test_merged_answer_states_the_number_of_missing_shards():
+    async def scenario(vm):
+        response = await vm.get("/all/q")
         assert header(response, b"X-Missing-Parts") == b"1"
         assert response.endswith(b"\r\n\r\n" + b"a" * 16)
 
@@ -174,68 +174,70 @@
     return b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"
 
 
-def full(request: bytes) -> bytes:
+def refusing(request: bytes) -> bytes:
     return b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def stray(request: bytes) -> bytes:
+def mismatched(request: bytes) -> bytes:
     return ok(request).replace(b"X-Request-Id: r1", b"X-Request-Id: other")
 
 
-def torn(request: bytes) -> bytes | None:
+def truncated(request: bytes) -> bytes | None:
     return None
 
 
-def unproven(request: bytes) -> bytes:
+def without_receipt(request: bytes) -> bytes:
     return ok(request).replace(b"X-Server-Stamp: stamp\r\n", b"")
 
 
-def noise(request: bytes) -> bytes:
+def not_http(request: bytes) -> bytes:
     return b"\x00\x01 this is no response\r\n\r\n"
 
 
-@pytest.mark.parametrize("bad", [misdirected, full, stray, torn, unproven, noise])
-def test_an_idempotent_request_is_answered_by_the_other_target(bad):
-    """Guards against bytes of a broken target in a caller's answer."""
+@pytest.mark.parametrize(
+    "bad", [misdirected, refusing, mismatched, truncated, without_receipt, not_http]
+)
+def test_idempotent_request_is_retried_at_another_target(bad):
+    """Guards against a caller's answer that contains bytes of an invalid response."""
     calls = []
 
-    def first_bad(request: bytes) -> bytes | None:
+    def fail_first(request: bytes) -> bytes | None:
         calls.append(request)
         return bad(request) if len(calls) == 1 else ok(request)
 
-    async def scenario(world):
-        response = await world.get()
+    async def scenario(vm):
+        response = await vm.get()
         assert status(response) == 200 and response.endswith(b"\r\n\r\nhello")
         assert len(calls) == 2
 
-    run(scenario, a1=first_bad, a2=first_bad)
+    run(scenario, a1=fail_first, a2=fail_first)
 
 
-@pytest.mark.parametrize("bad", [stray, torn, unproven, noise])
-def test_a_request_that_may_have_run_is_sent_once_and_the_refusal_promises_nothing(bad):
-    async def scenario(world):
-        response = await world.get("/order/x")
+@pytest.mark.parametrize("bad", [mismatched, truncated, without_receipt, not_http])
+def test_non_idempotent_request_that_may_have_run_is_not_retried_and_answered_with_502(bad):
+    async def scenario(vm):
+        response = await vm.get("/order/x")
         assert status(response) == 502
-        assert sum(len(fake.requests) for fake in world.fakes.values()) == 1
+        assert sum(len(fake.requests) for fake in vm.fakes.values()) == 1
 
     run(scenario, a1=bad, a2=bad)
 
 
-@pytest.mark.parametrize("bad", [misdirected, full])
-def test_a_request_that_all_targets_refused_tells_the_caller_when_to_come_back(bad):
-    async def scenario(world):
-        response = await world.get("/order/x")
+@pytest.mark.parametrize("bad", [misdirected, refusing])
+def test_request_that_all_targets_refused_is_answered_with_503_and_retry_after(bad):
+    async def scenario(vm):
+        response = await vm.get("/order/x")
         assert status(response) == 503 and float(header(response, b"Retry-After")) > 0
-        assert sum(len(fake.requests) for fake in world.fakes.values()) == 2
+        assert sum(len(fake.requests) for fake in vm.fakes.values()) == 2
 
     run(scenario, a1=bad, a2=bad)
 
 
-def test_the_timeout_of_the_route_ends_a_request():
-    async def scenario(world):
-        world.fakes["a1"].delay_s = 5.0
+def test_request_ends_with_504_at_the_timeout_of_its_route():
+    async def scenario(vm):
+        vm.fakes["a1"].delay_s = 5.0
         started = asyncio.get_running_loop().time()
-        reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", vm.port)
         writer.write(b"GET /order/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n")
         assert b" 504 " in await reader.readline()
         assert 0.65 <= asyncio.get_running_loop().time() - started < 1.0
@@ -244,11 +246,11 @@
     run(scenario, a1=ok)
 
 
-def test_a_caller_that_leaves_cancels_the_work_at_the_target():
-    async def scenario(world):
-        target = world.fakes["a1"]
+def test_sub_request_is_cancelled_when_the_caller_disconnects():
+    async def scenario(vm):
+        target = vm.fakes["a1"]
         target.delay_s = 0.3
-        _, writer = await asyncio.open_connection("127.0.0.1", world.port)
+        _, writer = await asyncio.open_connection("127.0.0.1", vm.port)
         writer.write(b"GET /one/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n")
         while not target.requests:
             await asyncio.sleep(0.01)
@@ -257,41 +259,41 @@
             await asyncio.sleep(0.02)
             if target.closed:
                 break
-        assert target.closed == 1 and world.entry.in_flight == 0
+        assert target.closed == 1 and vm.entry.in_flight == 0
 
     run(scenario, a1=ok)
 
 
-def test_connections_are_kept_unless_the_target_sends_more_than_its_answer():
-    async def scenario(world):
+def test_connections_are_reused_unless_the_target_sends_bytes_after_its_response():
+    async def scenario(vm):
         for _ in range(3):
-            await world.get()
-        assert world.fakes["a1"].connections == 1
-        world.fakes["a1"].script = lambda r: ok(r) + ok(r, b"extra")
-        assert (await world.get()).endswith(b"\r\n\r\nhello")
-        world.fakes["a1"].script = ok
-        assert (await world.get()).endswith(b"\r\n\r\nhello")
-        assert world.fakes["a1"].connections == 2
+            await vm.get()
+        assert vm.fakes["a1"].connections == 1
+        vm.fakes["a1"].script = lambda r: ok(r) + ok(r, b"extra")
+        assert (await vm.get()).endswith(b"\r\n\r\nhello")
+        vm.fakes["a1"].script = ok
+        assert (await vm.get()).endswith(b"\r\n\r\nhello")
+        assert vm.fakes["a1"].connections == 2
 
     run(scenario, a1=ok)
 
 
-def test_a_vm_without_routes_refuses_and_says_when_to_come_back():
-    async def scenario(world):
-        response = await world.get()
+def test_vm_without_routes_answers_503_with_retry_after():
+    async def scenario(vm):
+        response = await vm.get()
         assert status(response) == 503 and header(response, b"Retry-After")
 
     async def body():
-        world = World(a1=ok)
-        world.table = None
-        async with world:
-            await scenario(world)
+        vm = EntryVm(a1=ok)
+        vm.table = None
+        async with vm:
+            await scenario(vm)
 
     asyncio.run(body())
 
 
 HOST = b"Host: h\r\nX-Request-Id: r\r\n"
-SMUGGLED = [
+AMBIGUOUS_REQUESTS = [
     b"POST /one/x HTTP/1.1\r\n" + HOST + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     b"POST /one/x HTTP/1.1\r\n"
     + HOST
@@ -302,12 +304,12 @@
 ]
 
 
-@pytest.mark.parametrize("raw", SMUGGLED)
-def test_an_ambiguous_request_is_refused_and_reaches_no_target(raw):
-    async def scenario(world):
-        response = await call(world.port, raw)
+@pytest.mark.parametrize("raw", AMBIGUOUS_REQUESTS)
+def test_ambiguous_request_is_rejected_and_reaches_no_target(raw):
+    async def scenario(vm):
+        response = await call(vm.port, raw)
         assert status(response) == 400 and b"Connection: close" in response
-        assert not world.fakes["a1"].requests
+        assert not vm.fakes["a1"].requests
 
     run(scenario, a1=ok)
 
@@ -321,9 +323,9 @@
         (b"GET /none/x HTTP/1.1\r\n" + HOST + b"\r\n", 404),
     ],
 )
-def test_what_callers_may_send_is_bounded(raw, expected):
-    async def scenario(world):
-        reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+def test_limits_on_caller_requests_are_enforced(raw, expected):
+    async def scenario(vm):
+        reader, writer = await asyncio.open_connection("127.0.0.1", vm.port)
         writer.write(raw)
         assert status(await asyncio.wait_for(reader.readline(), 2.0)) == expected
         writer.close()
@@ -331,34 +333,34 @@
     run(scenario, a1=ok)
 
 
-def test_requests_in_one_packet_are_answered_in_order():
-    async def scenario(world):
+def test_pipelined_requests_are_answered_in_order():
+    async def scenario(vm):
         request = b"GET /one/%d HTTP/1.1\r\nHost: h\r\nX-Request-Id: %d\r\n\r\n"
-        response = await call(world.port, b"".join(request % (n, n) for n in range(20)))
+        response = await call(vm.port, b"".join(request % (n, n) for n in range(20)))
         ids = [p.split(b"\r\n")[0] for p in response.split(b"X-Request-Id: ")[1:]]
         assert ids == [b"%d" % n for n in range(20)]
 
     run(scenario, a1=ok)
 
 
-def test_an_answer_leaves_earlier_for_a_caller_that_has_waited_before():
-    """Load pattern: callers whose connections or first tries took a part of the objective."""
+def test_time_that_a_caller_has_already_waited_counts_toward_the_objective():
+    """Load pattern: callers that spent part of the objective on connecting or earlier attempts."""
 
     async def body() -> tuple[float, float]:
-        async with World(a1=ok, b1=ok) as world:
-            for fake in world.fakes.values():
+        async with EntryVm(a1=ok, b1=ok) as vm:
+            for fake in vm.fakes.values():
                 fake.delay_s = 0.4
             starts = []
             for wait_ms in (900, 800):
                 raw = b"GET /all/q HTTP/1.1\r\nHost: h\r\nX-Deadline-Ms: %d\r\n\r\n"
-                _, writer = await asyncio.open_connection("127.0.0.1", world.port)
+                _, writer = await asyncio.open_connection("127.0.0.1", vm.port)
                 writer.write(raw % wait_ms)
-                while not world.entry.in_flight:
+                while not vm.entry.in_flight:
                     await asyncio.sleep(0.005)
-                [pending] = world.entry._calls
+                [pending] = vm.entry._calls
                 starts.append(pending.exchange.arrived - pending.execution._arrived)
                 writer.close()
-                while world.entry.in_flight:
+                while vm.entry.in_flight:
                     await asyncio.sleep(0.005)
         return starts[0], starts[1]
 
@@ -367,13 +369,13 @@
     assert second == pytest.approx(0.1)
 
 
-def test_the_round_trip_of_a_connection_is_known():
+def test_connection_reports_its_round_trip():
     async def body() -> float | None:
-        async with World(a1=ok) as world:
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+        async with EntryVm(a1=ok) as vm:
+            reader, writer = await asyncio.open_connection("127.0.0.1", vm.port)
             writer.write(b"GET /one/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n")
             await reader.readuntil(b"\r\n\r\n")
-            [connection] = world.server.connections
+            [connection] = vm.server.connections
             writer.close()
             return connection.round_trip_s
 
@@ -381,21 +383,21 @@
     assert round_trip_s is None or 0 <= round_trip_s < 1.0
 
 
-def test_a_target_is_told_the_time_that_is_left_when_the_request_leaves():
-    """Load pattern: a VM short of processor time, or a connection that is slow to open."""
+def test_deadline_header_holds_the_time_left_when_the_sub_request_is_sent():
+    """Load pattern: a VM with little processor time, or a connection that opens slowly."""
 
     async def body() -> int:
-        async with World(a1=ok) as world:
-            pool = world.entry._targets.pool
-            connected = pool.on_connected
+        async with EntryVm(a1=ok) as vm:
+            pool = vm.entry._targets.pool
+            on_connected = pool.on_connected
 
-            def late(conn: object) -> None:
-                asyncio.get_running_loop().call_later(0.2, connected, conn)
+            def connected_late(conn: object) -> None:
+                asyncio.get_running_loop().call_later(0.2, on_connected, conn)
 
-            pool.on_connected = late
+            pool.on_connected = connected_late
             raw = b"GET /one/q HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline-Ms: 800\r\n\r\n"
-            await call(world.port, raw)
-            [request] = world.fakes["a1"].requests
+            await call(vm.port, raw)
+            [request] = vm.fakes["a1"].requests
             return int(header(request, b"X-Deadline-Ms"))
 
     assert asyncio.run(body()) <= 600
--- a/tests/test_entry_wishes.py
+++ b/tests/test_entry_wishes.py
@@ -1,4 +1,4 @@
-"""Targets that leave or want no requests, as their answers say, over loopback."""
+"""Tests how the HTTP entry treats targets whose responses announce leaving or request a hold."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import pytest
 from http_fakes import call, header, ok
-from test_entry_controller import World, full, run, status
+from test_entry_controller import EntryVm, refusing, run, status
 
-LEAVING = b"Server-Leaving: 1\r\n"
+LEAVING_HEADER = b"Server-Leaving: 1\r\n"
 
 
 def with_header(response: bytes, line: bytes) -> bytes:
@@ -16,77 +16,77 @@
 
 
 def leaves(request: bytes) -> bytes:
-    return with_header(ok(request), LEAVING)
+    return with_header(ok(request), LEAVING_HEADER)
 
 
 def sheds(hold: bytes):
-    """Return a script that turns requests away for some time."""
+    """Return a script that refuses requests and requests a hold."""
 
     def script(request: bytes) -> bytes:
         identity = b"X-Request-Id: " + header(request, b"X-Request-Id") + b"\r\n"
-        return with_header(full(request), b"Retry-After: " + hold + b"\r\n" + identity)
+        return with_header(refusing(request), b"Retry-After: " + hold + b"\r\n" + identity)
 
     return script
 
 
-class LeavingWorld(World):
-    """A world whose registry forgets targets that said that they leave."""
+class LeavingEntryVm(EntryVm):
+    """An entry VM whose registry removes targets that announced that they leave."""
 
     def __init__(self, **scripts) -> None:
         super().__init__(**scripts)
-        self.gone: list[tuple[str, int]] = []
+        self.left: list[tuple[str, int]] = []
 
     def targets(self, service):
-        gone = {name for name, _ in self.gone}
-        return [r for r in super().targets(service) if r.target_id not in gone]
+        left = {name for name, _ in self.left}
+        return [r for r in super().targets(service) if r.target_id not in left]
 
     async def __aenter__(self):
         await super().__aenter__()
         entry_targets = self.entry._targets
 
         def note_leaving(target_id: str, incarnation: int) -> None:
-            self.gone.append((target_id, incarnation))
+            self.left.append((target_id, incarnation))
             entry_targets._refresh(target_id[0])
 
         entry_targets._source.note_leaving = note_leaving
         return self
 
 
-def refusing(request: bytes) -> bytes:
+def refuses_and_leaves(request: bytes) -> bytes:
     identity = b"X-Request-Id: " + header(request, b"X-Request-Id") + b"\r\n"
-    return with_header(full(request), LEAVING + identity)
+    return with_header(refusing(request), LEAVING_HEADER + identity)
 
 
-def failing(request: bytes) -> bytes:
+def fails_and_leaves(request: bytes) -> bytes:
     return leaves(request).replace(b" 200 OK", b" 500 Broken")
 
 
-@pytest.mark.parametrize("answer", [leaves, refusing, failing])
-def test_a_target_that_says_that_it_leaves_gets_nothing_more(answer):
-    """Load pattern: a release, in which each target announces itself in answers of any status."""
+@pytest.mark.parametrize("answer", [leaves, refuses_and_leaves, fails_and_leaves])
+def test_leaving_target_receives_no_further_requests(answer):
+    """Load pattern: a rolling restart, announced in responses of any status."""
 
-    async def scenario(world):
+    async def scenario(vm):
         for _ in range(6):
-            assert status(await world.get()) == 200
-        assert world.gone in ([("a1", 1)], [])
-        assert len(world.fakes["a1"].requests) <= 1
-        assert world.gone == [("a1", 1)] * len(world.fakes["a1"].requests)
+            assert status(await vm.get()) == 200
+        assert vm.left in ([("a1", 1)], [])
+        assert len(vm.fakes["a1"].requests) <= 1
+        assert vm.left == [("a1", 1)] * len(vm.fakes["a1"].requests)
 
-    run(scenario, LeavingWorld, a1=answer, a2=ok)
+    run(scenario, LeavingEntryVm, a1=answer, a2=ok)
 
 
-def test_a_late_answer_of_a_leaving_target_counts():
-    async def scenario(world):
-        world.fakes["a1"].delay_s = 0.4
-        while not world.fakes["a1"].requests:
-            await world.get()
+def test_late_response_marks_its_target_as_leaving():
+    async def scenario(vm):
+        vm.fakes["a1"].delay_s = 0.4
+        while not vm.fakes["a1"].requests:
+            await vm.get()
         await asyncio.sleep(0.6)
-        assert world.gone == [("a1", 1)]
+        assert vm.left == [("a1", 1)]
 
-    run(scenario, LeavingWorld, a1=leaves, a2=ok)
+    run(scenario, LeavingEntryVm, a1=leaves, a2=ok)
 
 
-def stray(request: bytes) -> bytes:
+def mismatched(request: bytes) -> bytes:
     return leaves(request).replace(b"X-Request-Id: r1", b"X-Request-Id: other")
 
 
@@ -94,75 +94,75 @@
     return leaves(request).replace(b" 200 OK", b" 421 Misdirected")
 
 
-def nameless(request: bytes) -> bytes:
+def without_request_id(request: bytes) -> bytes:
     return leaves(request).replace(b"X-Request-Id: r1\r\n", b"")
 
 
-@pytest.mark.parametrize("wrong", [stray, misdirected, nameless])
-def test_an_answer_of_somebody_else_marks_no_target(wrong):
-    async def scenario(world):
+@pytest.mark.parametrize("script", [mismatched, misdirected, without_request_id])
+def test_response_to_another_request_or_target_marks_no_target_as_leaving(script):
+    async def scenario(vm):
         for _ in range(3):
-            await world.get()
-        assert world.gone == []
+            await vm.get()
+        assert vm.left == []
 
-    run(scenario, LeavingWorld, a1=wrong, a2=wrong)
+    run(scenario, LeavingEntryVm, a1=script, a2=script)
 
 
-def test_all_copies_that_leave_end_the_service_with_a_truthful_refusal():
-    async def scenario(world):
-        assert status(await world.get()) == 200
-        assert status(await world.get()) == 200
-        refusal = await world.get()
+def test_requests_get_503_with_retry_after_once_all_targets_have_left():
+    async def scenario(vm):
+        assert status(await vm.get()) == 200
+        assert status(await vm.get()) == 200
+        refusal = await vm.get()
         assert status(refusal) == 503 and float(header(refusal, b"Retry-After")) > 0
-        assert sum(len(fake.requests) for fake in world.fakes.values()) == 2
+        assert sum(len(fake.requests) for fake in vm.fakes.values()) == 2
 
-    run(scenario, LeavingWorld, a1=leaves, a2=leaves)
+    run(scenario, LeavingEntryVm, a1=leaves, a2=leaves)
 
 
-def test_a_target_that_asks_for_a_pause_gets_nothing_until_its_end():
-    """Load pattern: one copy sheds everything and says for how long; no request goes there."""
+def test_target_that_requests_a_hold_receives_no_requests_until_it_ends():
+    """Load pattern: one replica sheds all requests and requests a hold."""
 
-    async def scenario(world):
+    async def scenario(vm):
         for number in range(12):
             raw = f"GET /one/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: q{number}\r\n\r\n"
-            assert status(await call(world.port, raw.encode())) == 200
-        assert len(world.fakes["a1"].requests) <= 1
+            assert status(await call(vm.port, raw.encode())) == 200
+        assert len(vm.fakes["a1"].requests) <= 1
 
     run(scenario, a1=sheds(b"30"), a2=ok)
 
 
-def test_callers_are_refused_at_once_while_all_targets_are_held_back():
-    async def scenario(world):
-        first = await world.get("/order/x")
+def test_callers_are_refused_immediately_while_all_targets_are_held_back():
+    async def scenario(vm):
+        first = await vm.get("/order/x")
         assert status(first) == 503
-        sent = sum(len(fake.requests) for fake in world.fakes.values())
+        sent = sum(len(fake.requests) for fake in vm.fakes.values())
         started = asyncio.get_running_loop().time()
-        reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", vm.port)
         writer.write(b"GET /order/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r2\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         writer.close()
         assert asyncio.get_running_loop().time() - started < 0.2
         assert status(head) == 503 and float(header(head, b"Retry-After")) >= 9.0
-        assert sum(len(fake.requests) for fake in world.fakes.values()) == sent == 2
+        assert sum(len(fake.requests) for fake in vm.fakes.values()) == sent == 2
 
     run(scenario, a1=sheds(b"10"), a2=sheds(b"12.5"))
 
 
 @pytest.mark.parametrize("value", [b"soon", b"-3", b"inf", b"nan"])
-def test_a_hold_that_is_no_duration_holds_nothing_back(value):
-    async def scenario(world):
+def test_invalid_hold_durations_are_ignored(value):
+    async def scenario(vm):
         for _ in range(2):
-            assert status(await world.get("/order/x")) == 503
-        assert len(world.fakes["a1"].requests) == 2
+            assert status(await vm.get("/order/x")) == 503
+        assert len(vm.fakes["a1"].requests) == 2
 
     run(scenario, a1=sheds(value))
 
 
-def test_a_gather_leaves_a_shard_out_that_is_held_back():
-    async def scenario(world):
-        await world.get("/all/q")
-        answer = await world.get("/all/q")
-        assert status(answer) == 200 and header(answer, b"X-Missing-Parts") == b"1"
-        assert len(world.fakes["b1"].requests) == 1
+def test_merged_answer_omits_a_shard_whose_targets_are_held_back():
+    async def scenario(vm):
+        await vm.get("/all/q")
+        response = await vm.get("/all/q")
+        assert status(response) == 200 and header(response, b"X-Missing-Parts") == b"1"
+        assert len(vm.fakes["b1"].requests) == 1
 
     run(scenario, a1=ok, b1=sheds(b"20"))
--- a/tests/test_far_contact.py
+++ b/tests/test_far_contact.py
@@ -1,4 +1,4 @@
-"""Whether a VM finds out that its failure domain is cut off."""
+"""Tests the detection that a failure domain is isolated from all others."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 ]
 
 
-def contact() -> tuple[FarContact, list[float]]:
+def make_detector() -> tuple[FarContact, list[float]]:
     now = [0.0]
     return FarContact("a", SimpleNamespace(vms=lambda: VMS), lambda: now[0]), now
 
 
-def test_silence_of_all_other_domains_means_a_cut():
-    watch, now = contact()
-    watch.on_gossip("10.0.0.2:7", ConfigStatus())
+def test_silence_of_all_other_domains_means_isolation():
+    detector, now = make_detector()
+    detector.on_gossip("10.0.0.2:7", ConfigStatus())
     now[0] = CUT_SILENCE_S + 0.1
-    watch.on_gossip("10.0.0.1:7", ConfigStatus())
-    assert watch.cut_off
-    watch.on_gossip("10.0.0.2:7", ConfigStatus())
-    assert not watch.cut_off
+    detector.on_gossip("10.0.0.1:7", ConfigStatus())
+    assert detector.cut_off
+    detector.on_gossip("10.0.0.2:7", ConfigStatus())
+    assert not detector.cut_off
 
 
-def test_a_system_of_one_domain_is_never_cut_off():
-    watch, now = contact()
-    watch.on_gossip("10.0.0.1:7", ConfigStatus())
+def test_only_domain_of_a_system_is_never_isolated():
+    detector, now = make_detector()
+    detector.on_gossip("10.0.0.1:7", ConfigStatus())
     now[0] = 60.0
-    assert not watch.cut_off
+    assert not detector.cut_off
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Changes of a settings file, with and without a signal."""
+"""Tests the detection of changes of a settings file, with and without a signal."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def write(path, text: str) -> None:
-    """Write a file whose time of change differs from the last one."""
+    """Write a file with a modification time later than the previous one."""
     before = path.stat().st_mtime_ns if path.exists() else 0
     path.write_text(text)
     os.utime(path, ns=(before + 1_000_000, before + 1_000_000))
 
 
-def test_a_change_is_seen_once_it_rests(tmp_path):
+def test_change_is_reported_once_the_file_stays_unchanged(tmp_path):
     path = tmp_path / "conf"
     write(path, "one")
     file = SettingsFile(path, load)
@@ -39,7 +39,7 @@
     assert not file.has_changed()
 
 
-def test_a_replaced_file_of_the_same_size_is_a_change(tmp_path):
+def test_replaced_file_of_the_same_size_is_reported_as_changed(tmp_path):
     path = tmp_path / "conf"
     write(path, "one")
     file = SettingsFile(path, load)
@@ -51,7 +51,7 @@
     assert file.has_changed()
 
 
-def test_an_invalid_or_absent_file_is_logged_once_and_the_next_valid_one_taken(tmp_path, caplog):
+def test_invalid_or_absent_file_is_logged_once_and_the_next_valid_one_is_loaded(tmp_path, caplog):
     path = tmp_path / "conf"
     write(path, "one")
     file = SettingsFile(path, load)
@@ -73,25 +73,25 @@
     assert file.reload() == "three"
 
 
-def test_watching_calls_back_without_a_signal(tmp_path, monkeypatch):
-    monkeypatch.setattr(settings_file, "POLL_S", 0.01)
+def test_watch_calls_back_without_a_signal(tmp_path, monkeypatch):
+    monkeypatch.setattr(settings_file, "POLL_INTERVAL_S", 0.01)
     path = tmp_path / "conf"
     write(path, "one")
     file = SettingsFile(path, load)
     file.load()
 
     async def body() -> list:
-        taken, seen = [], asyncio.Event()
+        loaded, changed = [], asyncio.Event()
 
         def on_change() -> None:
-            taken.append(file.reload())
-            seen.set()
+            loaded.append(file.reload())
+            changed.set()
 
-        watch = asyncio.ensure_future(file.watch(on_change))
+        watch_task = asyncio.ensure_future(file.watch(on_change))
         write(path, "two")
         async with asyncio.timeout(5):
-            await seen.wait()
-        watch.cancel()
-        return taken
+            await changed.wait()
+        watch_task.cancel()
+        return loaded
 
     assert asyncio.run(body()) == ["two"]
--- a/tests/test_voter_keeper.py
+++ b/tests/test_voter_keeper.py
@@ -1,4 +1,4 @@
-"""Which change of the members a leader makes by itself."""
+"""Tests the changes of the members that a leader makes without an operator."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 THREE = [member("a"), member("b"), member("c")]
 
 
-def test_a_calm_cluster_is_left_alone():
+def test_healthy_cluster_is_not_changed():
     assert next_change(THREE, "a/1", {"b/1": 0.1, "c/1": 0.1}, []) is None
 
 
-def test_a_vm_with_a_new_disk_loses_its_old_self_before_it_joins():
+def test_old_node_of_a_vm_with_a_new_disk_is_removed_before_the_new_one_joins():
     newcomer = member("b", 2)
     change = next_change(THREE, "a/1", {}, [newcomer])
     assert change == Remove("b/1")
-    left = [THREE[0], THREE[2]]
-    assert next_change(left, "a/1", {}, [newcomer]) == AddLearner(newcomer)
+    remaining = [THREE[0], THREE[2]]
+    assert next_change(remaining, "a/1", {}, [newcomer]) == AddLearner(newcomer)
     learner = member("b", 2, voter=False)
-    assert next_change([*left, learner], "a/1", {"b/2": 0.1}, []) == Promote("b/2")
+    assert next_change([*remaining, learner], "a/1", {"b/2": 0.1}, []) == Promote("b/2")
 
 
-def test_a_vm_at_the_address_of_a_member_replaces_it():
+def test_vm_at_the_address_of_a_member_replaces_it():
     newcomer = member("d", host="host-c")
     assert next_change(THREE, "a/1", {}, [newcomer]) == Remove("c/1")
 
 
-def test_a_fourth_vm_stays_a_learner_until_a_voter_is_dead():
+def test_fourth_vm_stays_a_learner_until_a_voter_is_dead():
     members = [*THREE, member("d", voter=False)]
     silent = {"b/1": 0.1, "c/1": 0.1, "d/1": 0.1}
     assert next_change(members, "a/1", silent, []) is None
@@ -59,16 +59,16 @@
     )
 
 
-def test_without_a_successor_a_silent_voter_keeps_its_place():
+def test_silent_voter_stays_a_member_while_no_learner_can_replace_it():
     assert next_change(THREE, "a/1", {"b/1": 60.0, "c/1": 0.1}, []) is None
 
 
-def test_a_learner_that_is_silent_itself_is_no_successor():
+def test_silent_learner_does_not_replace_a_voter():
     members = [*THREE, member("d", voter=False)]
     assert next_change(members, "a/1", {"c/1": 60.0, "d/1": 60.0}, []) is None
 
 
-def test_five_and_more_vms_give_an_odd_number_of_voters():
+def test_number_of_voters_is_odd_and_at_most_seven():
     for count in range(4, 9):
         members = [*THREE, *(member(f"m{n}", voter=False) for n in range(count - 3))]
         for _ in range(20):
@@ -84,8 +84,8 @@
             item.voter = True
 
 
-def test_any_series_of_losses_settles_with_every_vm_a_member_once():
-    """VMs lose their disks in any order; each comes back under a new identity."""
+def test_members_converge_to_one_voter_per_vm_after_repeated_disk_losses():
+    """VMs lose their disks in random order; each returns with a new node id."""
     rng = random.Random(4)
     members, disks = [member("a"), member("b"), member("c")], dict.fromkeys("abc", 1)
     for _ in range(50):
@@ -98,8 +98,8 @@
             match change:
                 case None:
                     break
-                case Remove(node_id=gone):
-                    members = [m for m in members if m.node_id != gone]
+                case Remove(node_id=removed):
+                    members = [m for m in members if m.node_id != removed]
                 case AddLearner(member=added):
                     members.append(added)
                 case Promote(node_id=promoted):
@@ -108,8 +108,8 @@
         assert all(m.voter for m in members)
 
 
-class CutOffMember:
-    """A VM whose log says that it is a member, and that hears no leader."""
+class PartitionedMember:
+    """A VM that receives no messages of a leader and is still a member in its own log."""
 
     node_id = "c/1"
     is_leader = False
@@ -130,7 +130,7 @@
 
 
 class RecordingClients:
-    """Notes the calls; the first one names the leader."""
+    """Records the addresses called; VMs other than the leader redirect to it."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -144,26 +144,26 @@
         return SimpleNamespace(Join=join)
 
 
-def joins(silence_s: float) -> list[str]:
+def join_calls(silence_s: float) -> list[str]:
     async def body() -> list[str]:
         clients = RecordingClients()
-        keeper = VoterKeeper(
+        manager = VoterKeeper(
             VotingConfig(),
-            CutOffMember(silence_s),
+            PartitionedMember(silence_s),
             None,
             clients,
             SimpleNamespace(addresses=lambda: ["10.0.0.2:7"]),
             random.Random(1),
         )
-        await keeper._look()
+        await manager._check_members()
         return clients.calls
 
     return asyncio.run(body())
 
 
-def test_a_member_that_was_removed_behind_a_cut_asks_to_join_again():
-    assert joins(LOST_LEADER_S + 1)[-1] == "10.0.0.1:7"
+def test_member_that_was_removed_during_a_partition_requests_to_join_again():
+    assert join_calls(LOST_LEADER_S + 1)[-1] == "10.0.0.1:7"
 
 
-def test_a_member_that_hears_its_leader_asks_nothing():
-    assert joins(0.1) == []
+def test_member_with_a_reachable_leader_sends_no_join_request():
+    assert join_calls(0.1) == []
