--- a/bramleycrank/daemon/far_contact.py
+++ b/bramleycrank/daemon/far_contact.py
@@ -23,7 +23,7 @@
         """Return the VMs that may be alive."""
 
 
-class FarContact:
+class DomainIsolation:
     """Tracks when the last message of a VM in another failure domain arrived.
 
     Parameters
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -16,7 +16,7 @@
 from bramleycrank.daemon.control_steps import ControlSteps
 from bramleycrank.daemon.entry_controller import EntryController
 from bramleycrank.daemon.entry_types import EntryDialect
-from bramleycrank.daemon.far_contact import FarContact
+from bramleycrank.daemon.far_contact import DomainIsolation
 from bramleycrank.daemon.life_cycle import LifeCycle
 from bramleycrank.daemon.voter_keeper import VoterKeeper, VotingConfig
 from bramleycrank.membership import MembershipConfig
@@ -138,7 +138,7 @@
         self._render_metrics = render_metrics
         super().__init__()
         self._parts: ControlParts | None = None
-        self._contact: FarContact | None = None
+        self._contact: DomainIsolation | None = None
         self._keeper: VoterKeeper | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
@@ -203,7 +203,7 @@
             control_only=cfg.entry is None,
         )
         loop = asyncio.get_running_loop()
-        self._contact = FarContact(cfg.base.vm.domain, parts.membership, loop.time)
+        self._contact = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
         parts.membership.subscribe_config_status(self._contact.on_gossip)
         await self._listen(cfg.metrics, Handler(self._on_metrics))
         await self._listen(cfg.readiness, Handler(self._on_readiness))
--- a/tests/test_far_contact.py
+++ b/tests/test_far_contact.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from bramleycrank.daemon.far_contact import CUT_SILENCE_S, FarContact
+from bramleycrank.daemon.far_contact import CUT_SILENCE_S, DomainIsolation
 from bramleycrank.proto.peer_pb2 import ConfigStatus, VmRecord
 
 VMS = [
@@ -13,9 +13,9 @@
 ]
 
 
-def make_detector() -> tuple[FarContact, list[float]]:
+def make_detector() -> tuple[DomainIsolation, list[float]]:
     now = [0.0]
-    return FarContact("a", SimpleNamespace(vms=lambda: VMS), lambda: now[0]), now
+    return DomainIsolation("a", SimpleNamespace(vms=lambda: VMS), lambda: now[0]), now
 
 
 def test_silence_of_all_other_domains_means_isolation():
