--- a/bramleycrank/daemon/far_contact.py
+++ b/bramleycrank/daemon/far_contact.py
@@ -8,7 +8,7 @@
 from bramleycrank.daemon.identity import format_address
 from bramleycrank.proto import peer_pb2
 
-CUT_SILENCE_S = 1.5
+ISOLATION_SILENCE_S = 1.5
 """Silence of all other domains after which the own domain counts as isolated, in seconds.
 
 Each VM probes a VM of another domain at least once a second and is probed as often, so a silence of
@@ -53,5 +53,5 @@
         """Whether all other domains are silent although one of them sent a message before."""
         return (
             self._last_message_at is not None
-            and self._clock() - self._last_message_at > CUT_SILENCE_S
+            and self._clock() - self._last_message_at > ISOLATION_SILENCE_S
         )
--- a/tests/test_far_contact.py
+++ b/tests/test_far_contact.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from bramleycrank.daemon.far_contact import CUT_SILENCE_S, DomainIsolation
+from bramleycrank.daemon.far_contact import ISOLATION_SILENCE_S, DomainIsolation
 from bramleycrank.proto.peer_pb2 import ConfigStatus, VmRecord
 
 VMS = [
@@ -21,7 +21,7 @@
 def test_silence_of_all_other_domains_means_isolation():
     detector, now = make_detector()
     detector.on_gossip("10.0.0.2:7", ConfigStatus())
-    now[0] = CUT_SILENCE_S + 0.1
+    now[0] = ISOLATION_SILENCE_S + 0.1
     detector.on_gossip("10.0.0.1:7", ConfigStatus())
     assert detector.cut_off
     detector.on_gossip("10.0.0.2:7", ConfigStatus())
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -10,7 +10,7 @@
 from test_state_follower import World as Followers
 
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
-from bramleycrank.daemon.far_contact import CUT_SILENCE_S
+from bramleycrank.daemon.far_contact import ISOLATION_SILENCE_S
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.membership.borders import CARRIERS, PARTNERS, Ring, spread_sample
 from bramleycrank.membership.gossip import HEARD_ENOUGH, GossipQueue
@@ -97,7 +97,7 @@
 
     fleet.count = note
     fleet.run_for(15.0)
-    assert max([*gaps, *(fleet.now - at for at in heard.values())]) < CUT_SILENCE_S
+    assert max([*gaps, *(fleet.now - at for at in heard.values())]) < ISOLATION_SILENCE_S
 
 
 def test_a_whole_domain_that_is_cut_off_is_found_dead():
