--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -126,7 +126,7 @@
     _mechanism(
         "not ready while cut off",
         "a domain cut off",
-        ("daemon/far_contact", "ISOLATION_SILENCE_S", NEVER),
+        ("daemon/domain_isolation", "ISOLATION_SILENCE_S", NEVER),
     ),
 )
 """The mechanisms that can be left out; the first one is the comparison."""
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -14,9 +14,9 @@
 from bramleycrank.daemon.control_parts import ControlParts
 from bramleycrank.daemon.control_service import ControlService
 from bramleycrank.daemon.control_steps import ControlSteps
+from bramleycrank.daemon.domain_isolation import DomainIsolation
 from bramleycrank.daemon.entry_controller import EntryController
 from bramleycrank.daemon.entry_types import EntryDialect
-from bramleycrank.daemon.far_contact import DomainIsolation
 from bramleycrank.daemon.life_cycle import LifeCycle
 from bramleycrank.daemon.voter_keeper import VoterKeeper, VotingConfig
 from bramleycrank.membership import MembershipConfig
--- a/tests/test_far_contact.py
+++ b/tests/test_far_contact.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from bramleycrank.daemon.far_contact import ISOLATION_SILENCE_S, DomainIsolation
+from bramleycrank.daemon.domain_isolation import ISOLATION_SILENCE_S, DomainIsolation
 from bramleycrank.proto.peer_pb2 import ConfigStatus, VmRecord
 
 VMS = [
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -10,7 +10,7 @@
 from test_state_follower import World as Followers
 
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
-from bramleycrank.daemon.far_contact import ISOLATION_SILENCE_S
+from bramleycrank.daemon.domain_isolation import ISOLATION_SILENCE_S
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.membership.borders import CARRIERS, PARTNERS, Ring, spread_sample
 from bramleycrank.membership.gossip import HEARD_ENOUGH, GossipQueue
