--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -62,7 +62,7 @@
     def near_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs of the own failure domain."""
 
-    def is_far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain."""
 
     def self_record(self) -> peer_pb2.VmRecord:
@@ -107,7 +107,7 @@
             cache.load() if cache else None,
             rng,
             self._loop.time(),
-            peers.is_far,
+            peers.is_remote,
         )
         self._callbacks: list[Callable[[], None]] = []
         self._tasks: set[asyncio.Task] = set()
--- a/bramleycrank/daemon/control_parts.py
+++ b/bramleycrank/daemon/control_parts.py
@@ -75,7 +75,7 @@
             clients,
             rng=rng,
         )
-        traffic.is_far = membership.core.is_far
+        traffic.is_remote = membership.core.is_remote
         directory = PeerDirectory(membership, seeds, clients)
         consensus = ConsensusController(
             _identity(cfg, replace_damaged), directory, clients, rng, metrics, traffic
--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -61,9 +61,9 @@
         """Return the addresses of some VMs in the own failure domain."""
         return self._membership.core.sample(count, near_only=True)
 
-    def is_far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; an unknown VM counts as local."""
-        return self._membership.core.is_far(address)
+        return self._membership.core.is_remote(address)
 
     def self_record(self) -> peer_pb2.VmRecord:
         """Return this VM's own record."""
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -257,7 +257,7 @@
         def encode() -> bytes:
             left_s = action.deadline - self._clock()
             data = call.template.encode(self._dialect.target_headers(action.target_id, left_s))
-            remote = self._targets.is_far(action.target_id)
+            remote = self._targets.is_remote(action.target_id)
             self._traffic.note("sub_requests", remote, len(data) + SEGMENT_BYTES)
             return data
 
@@ -280,7 +280,7 @@
     def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
         """Process a response; return whether it belongs to the request."""
         call.subs.pop(sub.sub_id, None)
-        remote = self._targets.is_far(sub.target_id)
+        remote = self._targets.is_remote(sub.target_id)
         self._traffic.note("sub_requests", remote, response.size, calls=0)
         meta = self._dialect.target_meta(response)
         execution, now = call.execution, self._clock()
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -164,7 +164,7 @@
         self._loop.call_at(until, self._on_slot_free, target_id)
         self.pool.recall(target_id)
 
-    def is_far(self, target_id: str) -> bool:
+    def is_remote(self, target_id: str) -> bool:
         """Return whether a target is in another failure domain."""
         return target_id in self._remote
 
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -212,7 +212,7 @@
         peers = vms.ring().near if near_only else vms.peers()
         return [address_of(r) for r in spread_sample(self.local, peers, count, self._rng)]
 
-    def is_far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; one that is unknown counts as near."""
         return self._view.vms.domain_of(address) not in ("", self.local.domain)
 
--- a/bramleycrank/observability/traffic.py
+++ b/bramleycrank/observability/traffic.py
@@ -27,14 +27,14 @@
     """
 
     def __init__(self, metrics: Metrics | None = None) -> None:
-        self.is_far: Callable[[str], bool] = lambda address: False
+        self.is_remote: Callable[[str], bool] = lambda address: False
         self._metrics = metrics or NullMetrics()
         self._calls: Counter[str] = Counter()
         self._bytes: Counter[str] = Counter()
 
     def note_call(self, purpose: str, address: str, size: int) -> None:
         """Count a call to another VM by its address and the bytes of both messages."""
-        self.note(purpose, self.is_far(address), size + CALL_BYTES)
+        self.note(purpose, self.is_remote(address), size + CALL_BYTES)
 
     def note(self, purpose: str, far: bool, size: int, *, calls: int = 1) -> None:
         """Count bytes on the wire.
--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -55,7 +55,7 @@
         cached: ConfigImage | None,
         rng: random.Random,
         now: float,
-        is_far: Callable[[str], bool] = lambda address: False,
+        is_remote: Callable[[str], bool] = lambda address: False,
     ) -> None:
         self.config = ConfigState.from_image(cached) if cached else ConfigState()
         self._cfg = cfg
@@ -67,7 +67,7 @@
         self._in_force_revision = -1
         self._known: Confirmation | None = None
         self._covered_at: float | None = None
-        self._hints = PeerHints(is_far)
+        self._hints = PeerHints(is_remote)
         self._far_at: float | None = None  # when a newer revision may be fetched across a border
         self._fetches: dict[str, _Fetch] = {}
         self._ask_leader_at = self._ask_any_at = now
@@ -79,10 +79,10 @@
         cached: ConfigImage | None,
         rng: random.Random,
         now: float,
-        is_far: Callable[[str], bool] = lambda address: False,
+        is_remote: Callable[[str], bool] = lambda address: False,
     ) -> ConfigFollower:
         """Build a starting follower with the image from the data folder, if there is one."""
-        return cls(cfg, cached, rng, now, is_far)
+        return cls(cfg, cached, rng, now, is_remote)
 
     @property
     def is_ready(self) -> bool:
@@ -288,7 +288,7 @@
             return []
         # A small gain is not worth a call.
         address = self._hints.fresher(now - stale + lease / 12, now)
-        if address and self._hints.is_far(address) and stale <= lease * _ASK_FAR_SHARE:
+        if address and self._hints.is_remote(address) and stale <= lease * _ASK_FAR_SHARE:
             return []
         if not address and stale > lease * _ASK_LEADER_SHARE and now >= self._ask_any_at:
             # What the peers last said is old, but they may have heard more since.
@@ -298,7 +298,7 @@
 
     def _may_ask(self, address: str, now: float) -> bool:
         """Return whether a peer that is ahead is near, or the wait for a near one is over."""
-        if not self._ready or not self._hints.is_far(address):
+        if not self._ready or not self._hints.is_remote(address):
             return True
         if self._far_at is None:
             self._far_at = now + self._rng.uniform(0, FAR_WAIT_S)
--- a/bramleycrank/state/peer_hints.py
+++ b/bramleycrank/state/peer_hints.py
@@ -41,8 +41,8 @@
         Returns whether a peer is in another failure domain.
     """
 
-    def __init__(self, is_far: Callable[[str], bool] = lambda address: False) -> None:
-        self._is_far = is_far
+    def __init__(self, is_remote: Callable[[str], bool] = lambda address: False) -> None:
+        self._is_far = is_remote
         self.leader_address = ""
         self.highest_revision = 0
         self._leader_confirmed_at = float("-inf")
@@ -104,7 +104,7 @@
         )
         return max(found, key=lambda address: self._peers[address].confirmed_at, default="")
 
-    def is_far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Return whether a peer is in another failure domain."""
         return self._is_far(address)
 
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -76,7 +76,7 @@
 
     near_sample = spread_sample
 
-    def is_far(self, address):
+    def is_remote(self, address):
         return False
 
     def self_record(self):
