--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -59,7 +59,7 @@
     def spread_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs, spread over the failure domains."""
 
-    def near_sample(self, count: int) -> Sequence[str]:
+    def local_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs of the own failure domain."""
 
     def is_remote(self, address: str) -> bool:
@@ -368,7 +368,7 @@
             actions = self._follower.on_fetched(action.peer_address, reply, now)
             self._execute(actions)
             if any(isinstance(item, ConfigInForce) for item in actions):
-                self._push(self._peers.near_sample(RELAY_FANOUT))
+                self._push(self._peers.local_sample(RELAY_FANOUT))
 
     def _push(self, addresses: Sequence[str]) -> None:
         """Tell a few VMs of the revision in force; they fetch it from this one."""
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -74,7 +74,7 @@
     def spread_sample(self, count):
         return self._peers[:count]
 
-    near_sample = spread_sample
+    local_sample = spread_sample
 
     def is_remote(self, address):
         return False
