--- a/bramleycrank/daemon/domain_isolation.py
+++ b/bramleycrank/daemon/domain_isolation.py
@@ -49,7 +49,7 @@
             self._last_message_at = self._clock()
 
     @property
-    def cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether all other domains are silent although one of them sent a message before."""
         return (
             self._last_message_at is not None
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -185,7 +185,7 @@
 
         A service whose targets are all gone is no reason: then no VM can do better.
         """
-        return self._contact.cut_off and not self._entry.can_serve
+        return self._contact.is_isolated and not self._entry.can_serve
 
     # Steps of the life cycle.
 
--- a/tests/test_far_contact.py
+++ b/tests/test_far_contact.py
@@ -23,13 +23,13 @@
     detector.on_gossip("10.0.0.2:7", ConfigStatus())
     now[0] = ISOLATION_SILENCE_S + 0.1
     detector.on_gossip("10.0.0.1:7", ConfigStatus())
-    assert detector.cut_off
+    assert detector.is_isolated
     detector.on_gossip("10.0.0.2:7", ConfigStatus())
-    assert not detector.cut_off
+    assert not detector.is_isolated
 
 
 def test_only_domain_of_a_system_is_never_isolated():
     detector, now = make_detector()
     detector.on_gossip("10.0.0.1:7", ConfigStatus())
     now[0] = 60.0
-    assert not detector.cut_off
+    assert not detector.is_isolated
