--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -18,7 +18,7 @@
 from bramleycrank.daemon.entry_controller import EntryController
 from bramleycrank.daemon.entry_types import EntryDialect
 from bramleycrank.daemon.life_cycle import LifeCycle
-from bramleycrank.daemon.voter_keeper import VoterKeeper, VotingConfig
+from bramleycrank.daemon.voter_keeper import VoterManager, VotingConfig
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.observability.metrics import Metrics
 from bramleycrank.observability.traffic import Traffic
@@ -139,7 +139,7 @@
         super().__init__()
         self._parts: ControlParts | None = None
         self._contact: DomainIsolation | None = None
-        self._keeper: VoterKeeper | None = None
+        self._keeper: VoterManager | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
         self._grpc: Server | None = None
@@ -209,7 +209,7 @@
         await self._listen(cfg.readiness, Handler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
-        self._keeper = VoterKeeper(
+        self._keeper = VoterManager(
             cfg.voting, parts.consensus, parts.voters, parts.clients, parts.peers, rng
         )
         peer = PeerService(parts.membership, parts.config, parts.consensus, self._keeper)
--- a/bramleycrank/daemon/voter_keeper.py
+++ b/bramleycrank/daemon/voter_keeper.py
@@ -136,7 +136,7 @@
     return sum(voter.domain == member.domain for voter in voters), member.node_id
 
 
-class VoterKeeper:
+class VoterManager:
     """Forms the cluster at the first start, joins it later, and changes its members as the leader.
 
     Parameters
--- a/tests/test_voter_keeper.py
+++ b/tests/test_voter_keeper.py
@@ -11,7 +11,7 @@
 from bramleycrank.daemon.voter_keeper import (
     DEAD_AFTER_S,
     LOST_LEADER_S,
-    VoterKeeper,
+    VoterManager,
     VotingConfig,
     next_change,
 )
@@ -147,7 +147,7 @@
 def join_calls(silence_s: float) -> list[str]:
     async def body() -> list[str]:
         clients = RecordingClients()
-        manager = VoterKeeper(
+        manager = VoterManager(
             VotingConfig(),
             PartitionedMember(silence_s),
             None,
