--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -18,7 +18,7 @@
 from bramleycrank.daemon.entry_controller import EntryController
 from bramleycrank.daemon.entry_types import EntryDialect
 from bramleycrank.daemon.life_cycle import LifeCycle
-from bramleycrank.daemon.voter_keeper import VoterManager, VotingConfig
+from bramleycrank.daemon.voter_manager import VoterManager, VotingConfig
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.observability.metrics import Metrics
 from bramleycrank.observability.traffic import Traffic
--- a/bramleycrank/platform/node_file.py
+++ b/bramleycrank/platform/node_file.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bramleycrank.daemon.http_node import HttpNodeConfig
-from bramleycrank.daemon.voter_keeper import VotingConfig
+from bramleycrank.daemon.voter_manager import VotingConfig
 from bramleycrank.exceptions import InvalidSettings
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.scatter.budget import ExtraConfig
--- a/tests/test_voter_keeper.py
+++ b/tests/test_voter_keeper.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 from bramleycrank.consensus import AddLearner, Promote, Remove
-from bramleycrank.daemon.voter_keeper import (
+from bramleycrank.daemon.voter_manager import (
     DEAD_AFTER_S,
     LOST_LEADER_S,
     VoterManager,
