--- a/bramleycrank/daemon/dead_vms.py
+++ b/bramleycrank/daemon/dead_vms.py
@@ -35,7 +35,7 @@
             if len(self._dead) > LIST_DEAD_MAX:
                 del self._dead[next(iter(self._dead))]
 
-    def added_to(self, known: Sequence[VmRecord], now: float) -> list[VmRecord]:
+    def merged_with(self, known: Sequence[VmRecord], now: float) -> list[VmRecord]:
         """Return the known VMs followed by the dead ones that are not among them."""
         ids = {record.vm_id for record in known}
         dead = (rec for rec, at in self._dead.values() if at >= now - LIST_DEAD_S)
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -168,7 +168,7 @@
 
     def all_vms(self) -> list[VmRecord]:
         """Return all known VMs; left ones for their retention, dead ones for `LIST_DEAD_S`."""
-        return self._dead.added_to(self.core.all_vms(), self._clock())
+        return self._dead.merged_with(self.core.all_vms(), self._clock())
 
     def targets(self, service: str) -> list[TargetRecord]:
         """Return the targets of a service that may get new work."""
