--- a/bramleycrank/daemon/dead_vms.py
+++ b/bramleycrank/daemon/dead_vms.py
@@ -14,7 +14,7 @@
 configuration must not count as in force everywhere while VMs on the other side lack it.
 """
 
-LIST_DEAD_MAX = 1024
+MAX_DEAD_VMS = 1024
 """Most dead VMs that are listed; the oldest entry is dropped first."""
 
 
@@ -32,7 +32,7 @@
             del self._dead[vm_id]
         if record.state == VM_STATE_DEAD:
             self._dead[record.vm_id] = (record, now)
-            if len(self._dead) > LIST_DEAD_MAX:
+            if len(self._dead) > MAX_DEAD_VMS:
                 del self._dead[next(iter(self._dead))]
 
     def merged_with(self, known: Sequence[VmRecord], now: float) -> list[VmRecord]:
