--- a/bramleycrank/daemon/claim_floors.py
+++ b/bramleycrank/daemon/claim_floors.py
@@ -35,7 +35,7 @@
         """Commit a command as the leader."""
 
 
-class ClaimFloors:
+class ClaimFloorProposer:
     """Proposes periodically to drop old claims while this VM is the leader.
 
     Parameters
--- a/bramleycrank/daemon/consensus_controller.py
+++ b/bramleycrank/daemon/consensus_controller.py
@@ -13,7 +13,7 @@
 import attrs
 
 from bramleycrank.consensus import RaftNode, Role
-from bramleycrank.daemon.claim_floors import ClaimFloors
+from bramleycrank.daemon.claim_floors import ClaimFloorProposer
 from bramleycrank.daemon.explain import explain_role, lagging_members
 from bramleycrank.daemon.identity import Directory, Identity, format_address
 from bramleycrank.daemon.log_host import LogHost
@@ -80,7 +80,7 @@
             traffic=traffic,
         )
         self._callbacks: list[Callable[[], None]] = []
-        self._floors = ClaimFloors(self)
+        self._floors = ClaimFloorProposer(self)
         self._role_changed = asyncio.Event()
         self._router = ProposalRouter(
             identity.address,
