--- a/bramleycrank/daemon/life_cycle.py
+++ b/bramleycrank/daemon/life_cycle.py
@@ -17,7 +17,7 @@
 STOP_STEP_TIMEOUT_S = 5.0
 
 
-class Steps(Protocol):
+class LifeCycleSteps(Protocol):
     """Steps of the life cycle that the node implements, in the order of their execution."""
 
     async def start_parts(self) -> None:
@@ -170,7 +170,7 @@
         Longest time to wait for requests in flight, in seconds.
     """
 
-    def __init__(self, steps: Steps, drain_notice_s: float, drain_limit_s: float) -> None:
+    def __init__(self, steps: LifeCycleSteps, drain_notice_s: float, drain_limit_s: float) -> None:
         self._steps = steps
         self._drain_notice_s = drain_notice_s
         self._drain_limit_s = drain_limit_s
