--- a/bramleycrank/daemon/entry_call.py
+++ b/bramleycrank/daemon/entry_call.py
@@ -28,7 +28,7 @@
     failures: list[str] = attrs.field(factory=list)
 
 
-class SubEnds(Protocol):
+class SubRequestObserver(Protocol):
     """Receives the outcomes of the sub-requests of all requests."""
 
     def on_response(self, call: Call, sub: PoolSub, response: Response) -> bool:
@@ -49,7 +49,7 @@
 
     __slots__ = ("_call", "_controller")
 
-    def __init__(self, controller: SubEnds, call: Call) -> None:
+    def __init__(self, controller: SubRequestObserver, call: Call) -> None:
         self._controller = controller
         self._call = call
 
