--- a/bramleycrank/daemon/dead_vms.py
+++ b/bramleycrank/daemon/dead_vms.py
@@ -7,7 +7,7 @@
 from bramleycrank.membership.records import address_of
 from bramleycrank.proto.peer_pb2 import VM_STATE_DEAD, VmRecord
 
-DEAD_VM_RETENTION_S = 24 * 3600.0
+DEAD_RETENTION_S = 24 * 3600.0
 """Time for which a dead VM is listed as unreachable, in seconds.
 
 Gossip drops its record after a minute. A partition between regions can last longer, and a
@@ -38,5 +38,5 @@
     def merged_with(self, known: Sequence[VmRecord], now: float) -> list[VmRecord]:
         """Return the known VMs followed by the dead ones that are not among them."""
         ids = {record.vm_id for record in known}
-        dead = (rec for rec, at in self._dead.values() if at >= now - DEAD_VM_RETENTION_S)
+        dead = (rec for rec, at in self._dead.values() if at >= now - DEAD_RETENTION_S)
         return [*known, *(record for record in dead if record.vm_id not in ids)]
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -167,7 +167,7 @@
         return self.core.live_vms(self._clock())
 
     def all_vms(self) -> list[VmRecord]:
-        """Return all known VMs; left ones for their retention, dead ones for `DEAD_VM_RETENTION_S`."""
+        """Return all known VMs; left ones for their retention, dead ones for `DEAD_RETENTION_S`."""
         return self._dead.merged_with(self.core.all_vms(), self._clock())
 
     def targets(self, service: str) -> list[TargetRecord]:
--- a/tests/test_membership_controller.py
+++ b/tests/test_membership_controller.py
@@ -7,7 +7,7 @@
 from grpclib.client import Channel
 from grpclib.server import Server
 
-from bramleycrank.daemon.dead_vms import DEAD_VM_RETENTION_S
+from bramleycrank.daemon.dead_vms import DEAD_RETENTION_S
 from bramleycrank.daemon.membership_controller import MembershipController
 from bramleycrank.exceptions import Draining, InvalidRequest
 from bramleycrank.membership import MembershipConfig, VmChanged
@@ -185,7 +185,7 @@
     tell("back", peer_pb2.VM_STATE_ALIVE, 1)
     tell("left", peer_pb2.VM_STATE_LEFT, 2)
     tell("new", peer_pb2.VM_STATE_ALIVE, 3)
-    now[0] += DEAD_VM_RETENTION_S - 1
+    now[0] += DEAD_RETENTION_S - 1
     assert listed() == {"own", "cut"}
     now[0] += 2
     assert listed() == {"own"}
