--- a/bramleycrank/daemon/life_cycle.py
+++ b/bramleycrank/daemon/life_cycle.py
@@ -161,7 +161,7 @@
 
     Parameters
     ----------
-    steps : Steps
+    steps : LifeCycleSteps
         Implementation of the steps.
     drain_notice_s : float
         Time for which the VM still accepts requests after it has reported that it is not ready, in
