--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -14,11 +14,11 @@
 from bramleycrank.daemon.control_parts import ControlParts
 from bramleycrank.daemon.control_service import ControlService
 from bramleycrank.daemon.control_steps import ControlSteps
+from bramleycrank.daemon.domain_isolation import DomainIsolation
 from bramleycrank.daemon.entry_controller import EntryController
 from bramleycrank.daemon.entry_types import EntryDialect
-from bramleycrank.daemon.far_contact import FarContact
 from bramleycrank.daemon.life_cycle import LifeCycle
-from bramleycrank.daemon.voter_keeper import VoterKeeper, VotingConfig
+from bramleycrank.daemon.voter_manager import VoterManager, VotingConfig
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.observability.metrics import Metrics
 from bramleycrank.observability.traffic import Traffic
@@ -138,8 +138,8 @@
         self._render_metrics = render_metrics
         super().__init__()
         self._parts: ControlParts | None = None
-        self._contact: FarContact | None = None
-        self._keeper: VoterKeeper | None = None
+        self._contact: DomainIsolation | None = None
+        self._keeper: VoterManager | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
         self._grpc: Server | None = None
@@ -185,7 +185,7 @@
 
         A service whose targets are all gone is no reason: then no VM can do better.
         """
-        return self._contact.cut_off and not self._entry.can_serve
+        return self._contact.is_isolated and not self._entry.can_serve
 
     # Steps of the life cycle.
 
@@ -203,13 +203,13 @@
             control_only=cfg.entry is None,
         )
         loop = asyncio.get_running_loop()
-        self._contact = FarContact(cfg.base.vm.domain, parts.membership, loop.time)
+        self._contact = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
         parts.membership.subscribe_config_status(self._contact.on_gossip)
         await self._listen(cfg.metrics, Handler(self._on_metrics))
         await self._listen(cfg.readiness, Handler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
-        self._keeper = VoterKeeper(
+        self._keeper = VoterManager(
             cfg.voting, parts.consensus, parts.voters, parts.clients, parts.peers, rng
         )
         peer = PeerService(parts.membership, parts.config, parts.consensus, self._keeper)
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -220,7 +220,7 @@
         peers = vms.selection().near if own_domain_only else vms.peers()
         return [address_of(record) for record in spread_sample(self.local, peers, count, self._rng)]
 
-    def is_far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; False for an unknown VM."""
         return self._view.vms.domain_of(address) not in ("", self.local.domain)
 
--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -70,7 +70,7 @@
         cached: ConfigImage | None,
         rng: random.Random,
         now: float,
-        is_far: Callable[[str], bool] = lambda address: False,
+        is_remote: Callable[[str], bool] = lambda address: False,
     ) -> None:
         self.config = ConfigState.from_image(cached) if cached else ConfigState()
         self._cfg = cfg
@@ -82,7 +82,7 @@
         self._in_force_revision = -1
         self._confirmation: Confirmation | None = None
         self._covered_at: float | None = None
-        self._hints = PeerHints(is_far)
+        self._hints = PeerHints(is_remote)
         self._remote_fetch_at: float | None = None  # earliest fetch from another domain
         self._fetches: dict[str, _Fetch] = {}
         self._ask_leader_at = self._ask_any_peer_at = now
@@ -94,10 +94,10 @@
         cached: ConfigImage | None,
         rng: random.Random,
         now: float,
-        is_far: Callable[[str], bool] = lambda address: False,
+        is_remote: Callable[[str], bool] = lambda address: False,
     ) -> ConfigFollower:
         """Build a starting follower with the image from the data folder, if there is one."""
-        return cls(cfg, cached, rng, now, is_far)
+        return cls(cfg, cached, rng, now, is_remote)
 
     @property
     def is_ready(self) -> bool:
@@ -311,7 +311,7 @@
             return []
         # A confirmation that is newer by less than a twelfth of the lease does not justify a call.
         address = self._hints.fresher(now - age_s + lease_s / 12, now)
-        if address and self._hints.is_far(address) and age_s <= lease_s * _ASK_REMOTE_SHARE:
+        if address and self._hints.is_remote(address) and age_s <= lease_s * _ASK_REMOTE_SHARE:
             return []
         if not address and age_s > lease_s * _ASK_LEADER_SHARE and now >= self._ask_any_peer_at:
             # The last status of every peer is too old, but some may have newer ones by now.
@@ -321,7 +321,7 @@
 
     def _may_fetch_from(self, address: str, now: float) -> bool:
         """Return whether a peer is in the own domain or the wait for such a peer is over."""
-        if not self._ready or not self._hints.is_far(address):
+        if not self._ready or not self._hints.is_remote(address):
             return True
         if self._remote_fetch_at is None:
             self._remote_fetch_at = now + self._rng.uniform(0, REMOTE_FETCH_WAIT_S)
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -10,7 +10,7 @@
 from test_state_follower import FollowerSimulation
 
 from bramleycrank.daemon.config_controller import RELAY_FANOUT
-from bramleycrank.daemon.far_contact import CUT_SILENCE_S
+from bramleycrank.daemon.domain_isolation import ISOLATION_SILENCE_S
 from bramleycrank.membership import MembershipConfig
 from bramleycrank.membership.gossip import MAX_RECEIVED_COPIES, GossipQueue
 from bramleycrank.membership.peer_selection import (
@@ -107,7 +107,7 @@
 
     fleet.count = record_call
     fleet.run_for(15.0)
-    assert max([*gaps, *(fleet.now - at for at in last_received_at.values())]) < CUT_SILENCE_S
+    assert max([*gaps, *(fleet.now - at for at in last_received_at.values())]) < ISOLATION_SILENCE_S
 
 
 def test_a_partitioned_domain_is_detected_as_dead_and_rejoins():
