--- a/bramleycrank/daemon/__init__.py
+++ b/bramleycrank/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: its life cycle and the controllers that run the decision cores."""
+"""The daemon: its life cycle and the controllers that run the cores (logic without I/O)."""
--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force on this VM, and tells how old it is."""
+"""Keeps the configuration in force on this VM and reports its age."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-# A leader renews its confirmation well within the lease of 6 s.
+# A leader has its revision confirmed several times within the configuration lease of 6 s.
 CONFIRM_PERIOD_S = 1.0
 
 CONFIRM_TIMEOUT_S = 1.0
@@ -42,25 +42,25 @@
 PUSH_TIMEOUT_S = 1.0
 MIN_TICK_S = 0.02
 
-# A tick that failed may fail each time; its traceback must not fill the log.
-FAILED_TICK_S = 1.0
+# Delay after a failed tick: it may fail each time, and its tracebacks must not fill the log.
+FAILED_TICK_DELAY_S = 1.0
 
-# VMs that the leader tells of a new revision at once.
+# Number of VMs to which the leader pushes a new revision at once.
 PUSH_FANOUT = 8
 
-# VMs of its own domain that each VM tells at once of a revision that it fetched; gossip reaches
-# those that are left.
+# Number of VMs of its own domain to which a VM pushes a revision that it fetched; gossip reaches
+# the others.
 RELAY_FANOUT = 3
 
 
 class Peers(Protocol):
-    """What the controller needs to reach other VMs."""
+    """The other VMs, as the controller needs them."""
 
     def spread_sample(self, count: int) -> Sequence[str]:
-        """Return the addresses of some VMs, spread over the failure domains."""
+        """Return the addresses of up to `count` VMs, spread over the failure domains."""
 
     def near_sample(self, count: int) -> Sequence[str]:
-        """Return the addresses of some VMs of the own failure domain."""
+        """Return the addresses of up to `count` VMs of the own failure domain."""
 
     def is_far(self, address: str) -> bool:
         """Return whether a VM is in another failure domain."""
@@ -75,9 +75,9 @@
     Parameters
     ----------
     cfg : ConfigSettings
-        Lease and waiting time at start.
+        Lease and the longest wait for a configuration at the start.
     consensus : ConsensusController
-        Source of the configuration on VMs that have a part in the log.
+        Source of the configuration on VMs that have a copy of the replicated log.
     peers : Peers
         Other VMs.
     clients : PeerClients
@@ -112,15 +112,15 @@
         self._callbacks: list[Callable[[], None]] = []
         self._tasks: set[asyncio.Task] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._local_seen: tuple[object, ...] = ()
+        self._last_seen: tuple[object, ...] = ()
         self._in_force = asyncio.Event()
         self._cache_error = ""
         self._routes = log_pb2.RouteTable()  # unpacked
 
     async def start(self) -> None:
-        """Start to follow the configuration."""
+        """Start following the configuration."""
         self._consensus.subscribe(self._on_consensus)
-        self._spawn(self._confirm_regularly())
+        self._spawn(self._confirm_periodically())
         self._tick()
 
     async def stop(self) -> None:
@@ -138,7 +138,7 @@
         """Call back after each new revision in force."""
         self._callbacks.append(callback)
 
-    # Lookups; `service` is called for every request.
+    # Lookups. `service` is on the path of every request.
 
     def service(self, name: str) -> log_pb2.ServiceConfig:
         """Return the configuration of a service.
@@ -151,7 +151,7 @@
             No service has this name.
         """
         if not self._follower.is_ready:
-            # What the data folder held may be long out of date.
+            # The configuration read from the data folder may be long out of date.
             raise ConfigurationUnavailable()
         service = self._follower.config.services.get(name)
         if service is None:
@@ -159,11 +159,11 @@
         return service
 
     def services(self) -> list[log_pb2.ServiceConfig]:
-        """Return all services by name."""
+        """Return all services, sorted by name."""
         return [service for _, service in sorted(self._follower.config.services.items())]
 
     def is_drained(self, vm_id: str) -> bool:
-        """Return whether operators drain a VM."""
+        """Return whether operators have set a VM to drain."""
         vm = self._follower.config.vms.get(vm_id)
         return vm is not None and vm.drained
 
@@ -188,16 +188,16 @@
         return self._follower.is_current(self._loop.time())
 
     def status(self) -> peer_pb2.ConfigStatus:
-        """Return what this VM knows, for gossip."""
+        """Return the revisions and the leader known to this VM, for gossip."""
         return self._follower.status(self._loop.time())
 
     def leader_address(self) -> str:
-        """Return ``host:port`` of the leader as gossip tells it, or an empty string."""
+        """Return ``host:port`` of the leader according to gossip, or an empty string."""
         status = self.status()
         return format_address(status.leader_host, status.leader_port) if status.leader_host else ""
 
     def dump(self) -> dict[str, object]:
-        """Return why the configuration is in force and how old it is, in JSON form."""
+        """Return the revision in force, its age and the reason for its age, in JSON form."""
         follower = self._follower.dump()
         now = self._loop.time()
         stale_s = None if follower["covered_at"] is None else self._follower.stale_s(now)
@@ -228,11 +228,11 @@
         Raises
         ------
         NotLeader, NoQuorum, PeerUnreachable
-            The newest revision cannot be known now.
+            The newest revision cannot be determined now.
         """
         if self._consensus.is_leader:
             await self._consensus.confirm_read(CONFIRM_TIMEOUT_S)
-            self._take_local()
+            self._adopt_local_state()
             return
         address = self._consensus.leader_address() or self.leader_address()
         if not address:
@@ -241,14 +241,16 @@
         reply = await self._clients.stub(address).FetchConfig(request, timeout=CONFIRM_TIMEOUT_S)
         self._execute(self._follower.on_fetched(address, reply, self._loop.time()))
         if self.revision < reply.status.revision:
-            raise NoQuorum("the leader's revision did not arrive", outcome=Outcome.NOT_RUN)
+            raise NoQuorum(
+                "this VM is still behind the revision of the leader", outcome=Outcome.NOT_RUN
+            )
 
     # Events.
 
     def on_gossip(
         self, address: str, status: peer_pb2.ConfigStatus, sent_at: float | None = None
     ) -> None:
-        """Take what another VM knows of the configuration."""
+        """Process the configuration status of another VM; fetch a newer revision if it has one."""
         self._execute(self._follower.on_status(address, status, self._loop.time(), sent_at))
 
     async def on_fetch(self, request: peer_pb2.FetchConfigRequest) -> peer_pb2.FetchConfigReply:
@@ -257,32 +259,32 @@
         Raises
         ------
         NotLeader
-            The caller wants a confirmed revision and this VM does not lead.
+            The caller requires a confirmed revision, and this VM is not the leader.
         NoQuorum
             No quorum confirmed in time.
         """
         if request.leader_confirmed:
             await self._consensus.confirm_read(CONFIRM_TIMEOUT_S)
-            self._take_local()
+            self._adopt_local_state()
         return self._follower.fetch_reply(request.from_revision, self._loop.time())
 
     def _on_consensus(self) -> None:
-        """Take the state of the log if the revision, the leader or the confirmation changed.
+        """Adopt the replicated state if the revision, the leader or the confirmation changed.
 
-        Claims change the applied state far more often than operators change the configuration,
-        and taking it copies the configuration.
+        Adopting it copies the configuration, and claims change the replicated state far more often
+        than operators change the configuration.
         """
         state = self._consensus.state
         confirmed = self._consensus.confirmed_at() is not None
         revision = state.config.revision if state else -1
         seen = (revision, confirmed, self._consensus.leader_vm())
-        if seen != self._local_seen:
-            previous, self._local_seen = self._local_seen, seen
-            self._take_local()
+        if seen != self._last_seen:
+            previous, self._last_seen = self._last_seen, seen
+            self._adopt_local_state()
             if confirmed and seen != previous:
                 self._push(self._peers.spread_sample(PUSH_FANOUT))
 
-    def _take_local(self) -> None:
+    def _adopt_local_state(self) -> None:
         state = self._consensus.state
         if state is None:
             return
@@ -296,16 +298,16 @@
         )
         self._execute(actions)
 
-    async def _confirm_regularly(self) -> None:
-        """Have a quorum confirm the revision while this VM leads."""
+    async def _confirm_periodically(self) -> None:
+        """Have a quorum confirm the revision periodically while this VM leads."""
         while True:
             if self._consensus.is_leader:
                 try:
                     await self._consensus.confirm_read(CONFIRM_TIMEOUT_S)
                     self._on_consensus()
-                    self._take_local()
+                    self._adopt_local_state()
                 except BramleycrankError as exc:
-                    log.debug("config: not confirmed: %s", exc)
+                    log.debug("config: no quorum confirmed the revision: %s", exc)
                 except Exception:
                     log.exception("config: confirmation failed")
             await self._consensus.wait_role_change(CONFIRM_PERIOD_S)
@@ -317,7 +319,7 @@
             due = max(self._follower.next_deadline(), now + MIN_TICK_S)
         except Exception:
             log.exception("config: tick failed")
-            due = now + FAILED_TICK_S
+            due = now + FAILED_TICK_DELAY_S
         self._timer = self._loop.call_at(due, self._tick)
 
     def _execute(self, actions: Sequence[object]) -> None:
@@ -326,19 +328,20 @@
                 case FetchConfig():
                     self._spawn(self._fetch(action))
                 case ConfigInForce():
-                    self._put_in_force(action.revision)
+                    self._on_in_force(action.revision)
         if self._follower.is_ready:
             self._in_force.set()
 
-    def _put_in_force(self, revision: int) -> None:
+    def _on_in_force(self, revision: int) -> None:
         log.info("config: revision %d is in force", revision)
         if self._cache is not None:
-            self._save()
-        # A change of the log may have led here, and its core stops after an exception.
+            self._save_to_cache()
+        # This may run within the Raft runner, which stops for good after an exception, so `notify`
+        # catches those of the callbacks.
         notify(self._callbacks)
 
-    def _save(self) -> None:
-        """Write the configuration to the data folder; the VM serves on if that fails."""
+    def _save_to_cache(self) -> None:
+        """Write the configuration to the data folder; log a failure and keep serving."""
         try:
             self._cache.save(self._follower.config.image())
             self._cache_error = ""
@@ -359,7 +362,7 @@
                 purpose="confirmations" if action.leader_confirmed else "tables",
             )
         except Exception as exc:
-            # The follower waits for one answer to each fetch, whatever went wrong.
+            # The follower waits for one result of each fetch, whatever the failure was.
             log.debug("config: fetch from %s failed: %r", action.peer_address, exc)
             now = self._loop.time()
             self._execute(self._follower.on_fetch_failed(action.peer_address, now))
@@ -371,7 +374,7 @@
                 self._push(self._peers.near_sample(RELAY_FANOUT))
 
     def _push(self, addresses: Sequence[str]) -> None:
-        """Tell a few VMs of the revision in force; they fetch it from this one."""
+        """Announce the revision in force to some VMs, which then fetch it from this one."""
         gossip = peer_pb2.Gossip(sender=self._peers.self_record(), config=self.status())
         request = peer_pb2.ProbeRequest(gossip=gossip, status_only=True)
         for address in addresses:
--- a/bramleycrank/daemon/consensus_controller.py
+++ b/bramleycrank/daemon/consensus_controller.py
@@ -1,4 +1,4 @@
-"""Owns this VM's part in the replicated log."""
+"""Runs the copy of the replicated log on this VM, if it has one, and routes proposals."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class ConsensusController:
-    """Runs the consensus core where this VM may vote, and forwards proposals everywhere.
+    """Runs the Raft node if this VM may vote, and sends proposals to the leader on every VM.
 
     Parameters
     ----------
     identity : Identity
-        Who and where this VM is.
+        Id, failure domain and address of this VM, and whether it may vote.
     directory : Directory
-        What gossip knows of VMs.
+        Addresses of VMs and of the leader according to gossip.
     clients : PeerClients
         Connections to other VMs.
     rng : random.Random
@@ -55,7 +55,7 @@
     metrics : Metrics, optional
         Receiver of metrics.
     traffic : Traffic, optional
-        Counts the messages to other voters.
+        Counts the messages to other members of the log.
     """
 
     def __init__(
@@ -92,14 +92,14 @@
         )
 
     async def start(self) -> None:
-        """Open the log and start the core, if this VM may vote."""
+        """Open the log and start the Raft node, if this VM may vote."""
         if self.identity.data_dir is None or not self.identity.vote:
             return
         self._host.open()
         self._floors.start()
 
     async def stop(self) -> None:
-        """Stop the core and close the log."""
+        """Stop the Raft node and close the log."""
         self._floors.stop()
         self._host.stop()
 
@@ -107,21 +107,21 @@
         """Call back after each change of the applied state, the role or the known leader."""
         self._callbacks.append(callback)
 
-    # What this VM knows.
+    # State of the log on this VM.
 
     @property
     def node_id(self) -> str:
-        """Identity of this node in the log; empty if the VM may not vote."""
+        """Id of the Raft node of this VM; empty if the VM may not vote."""
         return self._host.node_id
 
     @property
     def _runner(self) -> RaftRunner | None:
-        """Driver of the core, on a VM that may vote."""
+        """Runner of the Raft node, on a VM that may vote."""
         return self._host.runner
 
     @property
     def state(self) -> ReplicatedState | None:
-        """Replicated state as applied here, if this VM has a part in the log."""
+        """Replicated state as applied on this VM, if its log has members."""
         return self._runner.state if self._runner and self.membership else None
 
     @property
@@ -133,30 +133,30 @@
 
     @property
     def _node(self) -> RaftNode | None:
-        """The core while it runs; one that stopped after a failure knows nothing any more."""
+        """The Raft node while it runs; None after a failure, when its state may be out of date."""
         return self._runner.node if self._runner and not self._runner.failure else None
 
     @property
     def is_leader(self) -> bool:
-        """Whether this VM believes that it leads."""
+        """Whether the Raft node of this VM has the role of leader; a newer leader may exist."""
         return self._node is not None and self._node.role is Role.LEADER
 
     @property
     def role(self) -> str:
-        """Role for operators: entry, learner, follower, candidate or leader."""
+        """Role shown to operators: entry, learner, follower, candidate or leader."""
         members = self.membership.members if self.membership else ()
         if self._node is None or self.node_id not in {m.node_id for m in members}:
             return "entry"
         return str(self._node.role)
 
     def leader_address(self) -> str:
-        """Return ``host:port`` of the leader as far as this VM knows, or an empty string."""
+        """Return ``host:port`` of the leader known to the log or to gossip, or an empty string."""
         if self._node is not None and self._node.leader_id:
             return self.address_of(self._node.leader_id) or ""
         return self._directory.leader_address()
 
     def leader_endpoint(self) -> tuple[str, int] | None:
-        """Return host and port of the leader as this VM's own log knows it."""
+        """Return host and port of the leader known to the Raft node of this VM, or None."""
         leader_id = self._node.leader_id if self._node else ""
         address = self.address_of(leader_id) if leader_id else None
         if not address:
@@ -165,13 +165,13 @@
         return host.strip("[]"), int(port)
 
     def leader_vm(self) -> str:
-        """Return the VM that leads as far as this VM's log knows, or an empty string."""
+        """Return the id of the VM that the Raft node knows as the leader, or an empty string."""
         return self._node.leader_id.partition("/")[0] if self._node else ""
 
     def address_of(self, node_id: str) -> str | None:
         """Return ``host:port`` of a node.
 
-        Gossip goes before the log, because a VM may come back under another address.
+        Gossip takes precedence over the log, because a VM may restart at another address.
         """
         vm_id = node_id.partition("/")[0]
         if vm_id == self.identity.vm_id:
@@ -184,7 +184,7 @@
         return format_address(member.host, member.port) if member else None
 
     def on_identity(self) -> peer_pb2.IdentityReply:
-        """Return what other VMs need to know to make this VM a voter."""
+        """Return the identity that other VMs need to make this VM a voter."""
         node = self._runner.node if self._runner else None
         return peer_pb2.IdentityReply(
             vm_id=self.identity.vm_id,
@@ -197,7 +197,7 @@
         )
 
     def dump(self) -> dict[str, object]:
-        """Return the state of this VM's part in the log in JSON form."""
+        """Return the state of the log on this VM in JSON form."""
         core = self._runner.node.dump() if self._runner else None
         failure = self._runner.failure if self._runner else None
         now = asyncio.get_running_loop().time()
@@ -213,17 +213,17 @@
         }
 
     def confirmed_at(self) -> float | None:
-        """Return the time before which the state holds every commit, or None if not leading."""
+        """Return the time up to which the state includes every commit, or None if not leading."""
         return self._node.confirmed_at if self._node else None
 
     def member_silence_s(self) -> dict[str, float]:
-        """Return the seconds since each other member answered this leader; empty elsewhere."""
+        """Return the seconds since each other member last replied; empty if not leading."""
         now = asyncio.get_running_loop().time()
-        heard_at = self._node.members_last_reply_at if self._node else {}
-        return {node_id: now - at for node_id, at in heard_at.items()}
+        replied_at = self._node.members_last_reply_at if self._node else {}
+        return {node_id: now - at for node_id, at in replied_at.items()}
 
     def leader_silence_s(self) -> float:
-        """Return the seconds since this VM heard a leader; 0 where no core runs."""
+        """Return the seconds since the last message of a leader; 0 if no Raft node runs."""
         if self._node is None:
             return 0.0
         return asyncio.get_running_loop().time() - self._node.heard_at
@@ -231,12 +231,12 @@
     # Commands and reads.
 
     async def propose(self, command: log_pb2.Command, timeout_s: float) -> log_pb2.CommandResult:
-        """Commit a command through the leader, wherever it is.
+        """Commit a command through the leader, which may be another VM.
 
         Raises
         ------
         NoQuorum
-            The command was never put into a log and never will be.
+            The command is in no log and will not be committed.
         ProposalOutcomeUnknown
             The command may still be committed.
         """
@@ -254,15 +254,15 @@
         Raises
         ------
         NotLeader
-            This VM does not lead; the command is in no log.
+            This VM is not the leader; the command is in no log.
         ProposalOutcomeUnknown
             The command may still be committed.
         """
         future = self._leading_runner().propose(proposal_id, command)
-        return await self._bounded(future, timeout_s, ProposalOutcomeUnknown)
+        return await self._wait_for_result(future, timeout_s, ProposalOutcomeUnknown)
 
     def require_leader(self) -> None:
-        """Raise `NotLeader` unless this VM believes that it leads."""
+        """Raise `NotLeader` unless the Raft node of this VM is the leader."""
         self._leading_runner()
 
     async def confirm_read(self, timeout_s: float) -> int:
@@ -276,34 +276,34 @@
         Raises
         ------
         NotLeader
-            This VM does not lead.
+            This VM is not the leader.
         NoQuorum
-            No quorum answered in time.
+            No quorum replied in time.
         """
         runner = self._leading_runner()
-        return await self._bounded(runner.read_index(uuid.uuid4().hex), timeout_s, NoQuorum)
+        return await self._wait_for_result(runner.read_index(uuid.uuid4().hex), timeout_s, NoQuorum)
 
     async def change_membership(self, change: object, timeout_s: float) -> log_pb2.Membership:
-        """Commit one change of the members as the leader; return the members after it."""
+        """Commit one change of the members as the leader; return the new membership."""
         future = self._leading_runner().change_membership(uuid.uuid4().hex, change)
-        await self._bounded(future, timeout_s, ProposalOutcomeUnknown)
+        await self._wait_for_result(future, timeout_s, ProposalOutcomeUnknown)
         return self.membership or log_pb2.Membership()
 
     async def transfer_leadership(self, timeout_s: float = 2.0) -> None:
-        """Hand the leadership over and wait until another VM leads or the time is up."""
+        """Transfer the leadership; wait until another VM leads, for at most `timeout_s` seconds."""
         if not self.is_leader or self._runner is None:
             return
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while self.is_leader and loop.time() < deadline:
-            # Without effect while a transfer is under way; the core gives a failed one up.
+            # Has no effect while a transfer is in progress; the Raft node aborts one that failed.
             self._runner.transfer_leadership()
             await asyncio.sleep(0.02)
 
     # Calls of other VMs.
 
     def on_message(self, message: log_pb2.ConsensusMessage) -> None:
-        """Take a consensus message; replies are messages of their own."""
+        """Process a consensus message; a reply to it is sent as a separate message."""
         if self._runner is not None:
             self._runner.receive(message)
 
@@ -315,15 +315,15 @@
         AlreadyBootstrapped
             The log of this VM belongs to another cluster.
         InvalidMembershipChange
-            The members are no valid first ones or lack this VM.
+            The members are not valid for a new cluster, or this VM is not among them.
         StorageError
-            The data folder failed.
+            Writing to the data folder failed.
         """
         if self._runner is None:
             raise InvalidMembershipChange(f"{self.identity.vm_id} may not vote")
         known = self._runner.node.membership.cluster_id
         if known and known == membership.cluster_id and not self._runner.failure:
-            return  # A resend after a lost answer.
+            return  # A resend: the reply to the first call was lost.
         self._runner.bootstrap(membership)
         log.info("consensus: bootstrapped cluster %s", membership.cluster_id)
         self._notify()
@@ -331,11 +331,11 @@
     # Listener of the runner.
 
     def on_applied(self) -> None:
-        """Tell subscribers that the state changed."""
+        """Notify subscribers that the state changed."""
         self._notify()
 
     def on_role(self) -> None:
-        """Tell subscribers that the role or the leader changed."""
+        """Notify subscribers that the role or the leader changed; reopen the log if it failed."""
         self._role_changed.set()
         failure = self._runner.failure if self._runner else None
         if isinstance(failure, StorageError | OSError):
@@ -343,13 +343,14 @@
         self._notify()
 
     async def wait_role_change(self, timeout_s: float) -> None:
-        """Wait until the role or the known leader changes, or the time is up."""
+        """Wait until the role or the known leader changes, for at most `timeout_s` seconds."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._role_changed.wait(), timeout_s)
         self._role_changed.clear()
 
     def _notify(self) -> None:
-        # The runner calls this between actions and would stop the core for good.
+        # The runner calls this between actions and would stop the Raft node for good after an
+        # exception, so `notify` catches those of the callbacks.
         notify(self._callbacks)
 
     def _leading_runner(self) -> RaftRunner:
@@ -360,15 +361,15 @@
             raise NotBootstrapped(outcome=Outcome.NOT_RUN)
         raise NotLeader(leader_address="" if address == self.identity.address else address)
 
-    async def _bounded(
+    async def _wait_for_result(
         self, future: asyncio.Future, timeout_s: float, error: type[BramleycrankError]
     ) -> object:
         try:
-            # Resends share the future, so the end of one caller's wait must not cancel it. The core
-            # ends it in any case, at the latest when it loses the leadership.
+            # Resends share the future, so a timeout of one caller must not cancel it. The Raft node
+            # always resolves it, at the latest when it loses the leadership.
             return await asyncio.wait_for(asyncio.shield(future), timeout_s)
         except TimeoutError:
-            raise error(f"no answer of a quorum within {timeout_s:.1f} s") from None
+            raise error(f"no quorum replied within {timeout_s:.1f} s") from None
 
     def _candidates(self) -> Sequence[str]:
         membership = self.membership
--- a/bramleycrank/daemon/control_parts.py
+++ b/bramleycrank/daemon/control_parts.py
@@ -27,7 +27,7 @@
 
 @attrs.define
 class ControlParts:
-    """The parts that every VM has, whatever it serves."""
+    """The parts that every VM has, independent of what it serves."""
 
     clients: PeerClients
     peers: PeerDirectory
@@ -48,7 +48,7 @@
         replace_damaged: bool = False,
         control_only: bool = False,
     ) -> ControlParts:
-        """Build and wire the parts; nothing is started.
+        """Build and connect the parts without starting them.
 
         Parameters
         ----------
@@ -63,14 +63,14 @@
         replace_damaged : bool, optional
             Whether a damaged log is replaced by an empty one.
         control_only : bool, optional
-            Whether the VM sends nothing to targets.
+            Whether the VM serves no callers and so sends nothing to targets.
         """
         traffic = Traffic(metrics)
         clients = PeerClients(traffic)
         seeds = [str(seed) for seed in cfg.peers.seeds]
         membership = MembershipController(
             membership_cfg or _membership_config(cfg),
-            _record(cfg, control_only),
+            _vm_record(cfg, control_only),
             seeds,
             clients,
             rng=rng,
@@ -78,9 +78,11 @@
         traffic.is_far = membership.core.is_far
         directory = PeerDirectory(membership, seeds, clients)
         consensus = ConsensusController(
-            _identity(cfg, replace_damaged), directory, clients, rng, metrics, traffic
+            _identity_of(cfg, replace_damaged), directory, clients, rng, metrics, traffic
+        )
+        config = ConfigController(
+            cfg.config, consensus, directory, clients, _open_config_cache(cfg), rng
         )
-        config = ConfigController(cfg.config, consensus, directory, clients, _cache(cfg), rng)
         directory.leader_address = config.leader_address
         membership.set_config_status(config.status)
         membership.subscribe_config_status(config.on_gossip)
@@ -89,7 +91,7 @@
         return cls(clients, directory, membership, consensus, config, voters, metrics)
 
 
-def _identity(cfg: Settings, replace_damaged: bool) -> Identity:
+def _identity_of(cfg: Settings, replace_damaged: bool) -> Identity:
     return Identity(
         vm_id=cfg.vm.id,
         domain=cfg.vm.domain,
@@ -101,7 +103,7 @@
     )
 
 
-def _record(cfg: Settings, control_only: bool) -> peer_pb2.VmRecord:
+def _vm_record(cfg: Settings, control_only: bool) -> peer_pb2.VmRecord:
     grpc = cfg.listen.grpc
     return peer_pb2.VmRecord(
         vm_id=cfg.vm.id,
@@ -122,7 +124,7 @@
     )
 
 
-def _cache(cfg: Settings) -> ConfigCache | None:
+def _open_config_cache(cfg: Settings) -> ConfigCache | None:
     if cfg.storage is None:
         return None
     try:
--- a/bramleycrank/daemon/control_service.py
+++ b/bramleycrank/daemon/control_service.py
@@ -1,4 +1,4 @@
-"""Operators' route tables and reports of targets, as any VM of the replicated log takes them."""
+"""Calls of operators and targets: route tables and reports, accepted by any control VM."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 log = logging.getLogger(__name__)
 
 PROPOSE_TIMEOUT_S = 4.0
-"""Limit for committing a route table; operators resend to another VM after about a second."""
+"""Timeout for committing a route table; operators resend to another VM after about 1 s."""
 
 READ_RETRIES = 2
-"""How often a read is tried again when the leader changes meanwhile."""
+"""Number of retries of a read, for a change of the leader in the meantime."""
 
 READ_RETRY_S = 0.15
-"""Pause before a read is tried again, in seconds."""
+"""Delay before a read is retried, in seconds."""
 
 
 class Proposer(Protocol):
@@ -39,20 +39,20 @@
 
 
 class Registry(Protocol):
-    """Takes reports of targets."""
+    """Accepts reports of targets."""
 
     async def announce(self, request: target_pb2.AnnounceRequest) -> target_pb2.AnnounceReply:
-        """Take an announcement or a renewal."""
+        """Record an announcement or a renewal."""
 
     async def leave_target(self, request: target_pb2.LeaveRequest) -> target_pb2.LeaveReply:
-        """Record that a target leaves, and tell the other VMs."""
+        """Record that a target leaves, and send the record to the other VMs."""
 
     def incarnation_of(self, target_id: str) -> int | None:
         """Return the newest known incarnation of a target."""
 
 
 class ControlService:
-    """Calls of operators and targets.
+    """Serves the calls of operators and targets.
 
     Parameters
     ----------
@@ -61,7 +61,7 @@
     proposer : Proposer
         The replicated log.
     registry : Registry
-        The targets.
+        Registry of the targets.
     """
 
     def __init__(self, config: ConfigController, proposer: Proposer, registry: Registry) -> None:
@@ -80,7 +80,7 @@
         VersionConflict
             Another table has the same version.
         NoQuorum, ProposalOutcomeUnknown
-            It is not known to be committed; the same table may be sent again.
+            The table may not be committed; the same table can be sent again.
         """
         check_routes(table)
         change = log_pb2.Change(change_id=uuid.uuid4().hex, put_routes=pack(table))
@@ -108,7 +108,7 @@
         Raises
         ------
         NotLeader, NoQuorum, PeerUnreachable
-            The newest table cannot be known now.
+            The newest table cannot be determined now.
         ConfigurationUnavailable
             There is no table yet.
         """
@@ -119,7 +119,7 @@
             except BramleycrankError as exc:
                 if not retries_left:
                     raise
-                log.debug("control: read has to be tried again: %s", exc)
+                log.debug("control: read failed and is retried: %s", exc)
                 await asyncio.sleep(READ_RETRY_S)
         table = self._config.routes()
         if table is None:
@@ -127,14 +127,14 @@
         return table
 
     async def announce(self, record: target_pb2.TargetRecord) -> None:
-        """Take a report of a target; one that is late changes nothing.
+        """Record a report of a target; an outdated one changes nothing.
 
         Raises
         ------
         InvalidRequest
-            The report is invalid or late.
+            The report is invalid or outdated.
         Draining, Refused
-            Another VM has to take it.
+            This VM cannot accept the report now; another VM may.
         """
         if record.state == target_pb2.TARGET_STATE_LEAVING:
             await self.leave(record.target_id, record.incarnation)
@@ -142,20 +142,20 @@
         await self._registry.announce(target_pb2.AnnounceRequest(record=record))
 
     async def leave(self, target_id: str, incarnation: int | None) -> None:
-        """Record that a target leaves; answers when the other VMs know, or after a short wait.
+        """Record that a target leaves; return after the acknowledgements or a short timeout.
 
         Parameters
         ----------
         target_id : str
             The target.
         incarnation : int or None
-            Its incarnation; the newest known one if it does not say.
+            Its incarnation; None for the newest known one.
         """
         known = self._registry.incarnation_of(target_id)
         if incarnation is None:
             incarnation = known
         if incarnation is None:
-            return  # nobody sends to a target that was never announced
+            return  # no VM sends to a target that was never announced
         request = target_pb2.LeaveRequest(target_id=target_id, incarnation=incarnation)
         await self._registry.leave_target(request)
         log.info("control: target leaves", extra={"target": target_id, "incarnation": incarnation})
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -32,35 +32,35 @@
 log = logging.getLogger(__name__)
 
 CONTROL_LIMITS = Limits(body_bytes=8 * 1024 * 1024)
-"""Limits for operators; a table of some thousand routes has a few megabytes."""
+"""Limits for requests of operators; a table of some thousand routes has a few megabytes."""
 
-SERVER_CLOSE_S = 0.5
-"""How long a stop waits for calls of other VMs that are still being answered, in seconds."""
+SERVER_CLOSE_TIMEOUT_S = 0.5
+"""Longest wait of a stop for calls of other VMs that are in flight, in seconds."""
 
-POLL_S = 0.02
-"""Time between two looks while the life cycle waits, in seconds."""
+POLL_PERIOD_S = 0.02
+"""Polling period while a step of the life cycle waits, in seconds."""
 
-TRAFFIC_LOG_S = 10.0
-"""Time between two log lines with the traffic by purpose, in seconds."""
+TRAFFIC_LOG_PERIOD_S = 10.0
+"""Period of the log line with the traffic by purpose, in seconds."""
 
-JOIN_TARGETS_S = 1.5
-"""How long a VM that has its routes waits for targets before it is ready, in seconds."""
+JOIN_TARGETS_TIMEOUT_S = 1.5
+"""Longest wait of a starting VM that has its routes for their targets, in seconds."""
 
 
 class Handler:
-    """Answers requests by a function."""
+    """Passes requests to a function that responds to them."""
 
     def __init__(self, answer: Callable[[Exchange], None]) -> None:
         self._answer = answer
 
     def on_request(self, exchange: Exchange) -> None:
-        """Take a request."""
+        """Respond to a request."""
         self._answer(exchange)
 
 
 @attrs.frozen(kw_only=True)
 class HttpNodeConfig:
-    """What an `HttpNode` serves, and where.
+    """Options of an `HttpNode`: what it serves, and at which addresses.
 
     Parameters
     ----------
@@ -69,21 +69,21 @@
     membership : MembershipConfig
         Options of the membership.
     entry : Address or None
-        Where callers connect, on a VM that serves them.
+        Listening address for callers, on a VM that serves them.
     readiness : Address or None
-        Where the load balancer asks whether the VM is ready.
+        Listening address for readiness checks of the load balancer.
     control : Address or None
-        Where operators and targets connect, on a VM that serves them.
+        Listening address for operators and targets, on a VM that serves them.
     metrics : Address or None
-        Where the metrics are served.
+        Listening address for requests of the metrics.
     extra : ExtraConfig
-        Bound for extra sub-requests.
+        Options of the retry budget, which bounds extra sub-requests.
     link_bytes_per_s : float
         Bandwidth of the VM's link; 0 if unknown.
     memory_bytes : int
         Memory limit of the process; 0 if unknown.
     voting : VotingConfig
-        How the voters are found.
+        Options for the choice of the voters.
     """
 
     base: Settings
@@ -99,15 +99,15 @@
 
 
 class HttpAdapter(Protocol):
-    """Translates between the product and the protocol around it."""
+    """Translates between the query tier and the HTTP protocol of a deployment."""
 
     dialect: EntryDialect
 
     def readiness(self, exchange: Exchange, reason: str) -> None:
-        """Answer the load balancer; `reason` says why the VM is not ready, or is empty."""
+        """Respond to a readiness check; `reason` is empty if the VM is ready."""
 
     def control(self, exchange: Exchange, service: ControlService) -> Awaitable[None]:
-        """Answer a call of an operator or a target."""
+        """Respond to a call of an operator or a target."""
 
 
 class HttpNode(ControlSteps):
@@ -116,9 +116,9 @@
     Parameters
     ----------
     cfg : HttpNodeConfig
-        What to serve.
+        Options of the node.
     adapter : HttpAdapter
-        Translates the protocol around the product.
+        Translates the HTTP protocol of the deployment.
     metrics : Metrics
         Receiver of metrics.
     render_metrics : callable
@@ -138,16 +138,16 @@
         self._render_metrics = render_metrics
         super().__init__()
         self._parts: ControlParts | None = None
-        self._contact: FarContact | None = None
-        self._keeper: VoterKeeper | None = None
+        self._far_contact: FarContact | None = None
+        self._voter_keeper: VoterKeeper | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
         self._grpc: Server | None = None
         self._servers: list[Http1Server] = []
-        self._callers: Http1Server | None = None
+        self._caller_server: Http1Server | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
-        life = cfg.base.life_cycle
-        self.life_cycle = LifeCycle(self, life.drain_notice_s, life.drain_limit_s)
+        options = cfg.base.life_cycle
+        self.life_cycle = LifeCycle(self, options.drain_notice_s, options.drain_limit_s)
 
     def dump(self) -> dict[str, Any]:
         """Return the state of all parts in JSON form."""
@@ -156,22 +156,22 @@
             "vm": {"id": self._cfg.base.vm.id, "domain": self._cfg.base.vm.domain},
             "life_cycle": self.life_cycle.dump(),
             "consensus": parts and parts.consensus.dump(),
-            "voters": self._keeper and self._keeper.dump(),
+            "voters": self._voter_keeper and self._voter_keeper.dump(),
             "config": parts and parts.config.dump(),
             "membership": parts and parts.membership.dump(),
             "traffic": parts and parts.clients.traffic.dump(),
             "entry": self._entry and self._entry.dump(),
-            "callers": self._callers and self._callers.dump(),
+            "callers": self._caller_server and self._caller_server.dump(),
         }
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Take other first contacts; they are asked while no other VM is known."""
+        """Replace the seeds, which this VM contacts while it knows no other VM."""
         if self._parts is not None:
             self._parts.peers.set_seeds(seeds)
             self._parts.membership.core.set_seeds(tuple(seeds))
 
     def readiness(self) -> str:
-        """Return an empty string while the VM is ready, otherwise the reason why not."""
+        """Return an empty string while the VM is ready, otherwise the reason why it is not."""
         if not self.life_cycle.ready():
             return f"the VM is {self.life_cycle.state}"
         if self._entry is None:
@@ -181,11 +181,11 @@
         return "cut off from the targets of some routes" if self._is_cut_off() else ""
 
     def _is_cut_off(self) -> bool:
-        """Whether callers are better served by VMs of other failure domains.
+        """Return whether VMs of other failure domains would serve callers better.
 
-        A service whose targets are all gone is no reason: then no VM can do better.
+        A service without any target does not count, because no VM can serve it.
         """
-        return self._contact.cut_off and not self._entry.can_serve
+        return self._far_contact.cut_off and not self._entry.can_serve
 
     # Steps of the life cycle.
 
@@ -193,7 +193,8 @@
         """Build and start everything."""
         rng = random.Random()
         cfg = self._cfg
-        # Voters join by themselves here, so one whose log is damaged can begin with an empty one.
+        # Voters are added automatically here, so one with a damaged log can start with an empty
+        # log.
         parts = self._parts = ControlParts.from_config(
             cfg.base,
             self._metrics,
@@ -203,19 +204,19 @@
             control_only=cfg.entry is None,
         )
         loop = asyncio.get_running_loop()
-        self._contact = FarContact(cfg.base.vm.domain, parts.membership, loop.time)
-        parts.membership.subscribe_config_status(self._contact.on_gossip)
+        self._far_contact = FarContact(cfg.base.vm.domain, parts.membership, loop.time)
+        parts.membership.subscribe_config_status(self._far_contact.on_gossip)
         await self._listen(cfg.metrics, Handler(self._on_metrics))
         await self._listen(cfg.readiness, Handler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
-        self._keeper = VoterKeeper(
+        self._voter_keeper = VoterKeeper(
             cfg.voting, parts.consensus, parts.voters, parts.clients, parts.peers, rng
         )
-        peer = PeerService(parts.membership, parts.config, parts.consensus, self._keeper)
+        peer = PeerService(parts.membership, parts.config, parts.consensus, self._voter_keeper)
         self._grpc = Server([peer])
         await self._grpc.start(cfg.base.listen.grpc.host, cfg.base.listen.grpc.port)
-        self._keeper.start()
+        self._voter_keeper.start()
         if cfg.entry is not None:
             await self._start_entry(parts, rng, cfg.entry)
         if cfg.control is not None:
@@ -229,7 +230,7 @@
     @staticmethod
     async def _log_traffic(traffic: Traffic) -> None:
         while True:
-            await asyncio.sleep(TRAFFIC_LOG_S)
+            await asyncio.sleep(TRAFFIC_LOG_PERIOD_S)
             log.info("traffic: calls and bytes since the start", extra={"traffic": traffic.dump()})
 
     async def _start_entry(self, parts: ControlParts, rng: random.Random, address: Address) -> None:
@@ -247,11 +248,11 @@
             parts.clients.traffic,
         )
         await entry.start()
-        self._callers = Http1Server(entry, entry.limits, self._intake())
-        self._servers.append(self._callers)
-        await self._callers.start(address.host, address.port)
+        self._caller_server = Http1Server(entry, entry.limits, self._new_intake_budget())
+        self._servers.append(self._caller_server)
+        await self._caller_server.start(address.host, address.port)
 
-    def _intake(self) -> IntakeBudget[ServerConnection]:
+    def _new_intake_budget(self) -> IntakeBudget[ServerConnection]:
         return IntakeBudget.from_memory(self._cfg.memory_bytes)
 
     async def _listen(
@@ -259,50 +260,50 @@
     ) -> None:
         if address is None:
             return
-        server = Http1Server(handler, lambda: limits or Limits(), self._intake())
+        server = Http1Server(handler, lambda: limits or Limits(), self._new_intake_budget())
         self._servers.append(server)
         await server.start(address.host, address.port)
 
     async def join(self) -> None:
-        """Wait until routes are in force, and for a short time until their targets are known."""
+        """Wait until routes are in force, and for a limited time until their targets are known."""
         await self._parts.config.wait_in_force()
         if self._entry is None:
             return
         while not self._entry.has_routes:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_PERIOD_S)
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + JOIN_TARGETS_S
+        deadline = loop.time() + JOIN_TARGETS_TIMEOUT_S
         while not self._entry.covers_routes and loop.time() < deadline:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_PERIOD_S)
 
     async def stop_listening(self) -> None:
-        """Accept no new requests of callers."""
-        if self._callers is not None:
-            self._callers.stop_listening()
+        """Stop accepting requests of callers."""
+        if self._caller_server is not None:
+            self._caller_server.stop_listening()
 
     async def finish_requests(self, limit_s: float) -> None:
-        """Wait until no request is in flight and every answer has left."""
+        """Wait until no request is in flight and all answers are sent, for at most `limit_s`."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + limit_s
         while self._busy() and loop.time() < deadline:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_PERIOD_S)
         if self._busy():
             log.warning("life cycle: requests are still in flight", extra={"after_s": limit_s})
 
     def _busy(self) -> bool:
-        calls = self._control is not None and self._control.in_flight > 0
-        return calls or (self._callers is not None and self._callers.busy)
+        control_busy = self._control is not None and self._control.in_flight > 0
+        return control_busy or (self._caller_server is not None and self._caller_server.busy)
 
     async def close(self) -> None:
-        """Close everything; what was not started is passed over."""
+        """Close all parts that were started."""
         for server in self._servers:
             server.close()
         for task in list(self._tasks):
             task.cancel()
         if self._entry is not None:
             await self._entry.stop()
-        if self._keeper is not None:
-            await self._keeper.stop()
+        if self._voter_keeper is not None:
+            await self._voter_keeper.stop()
         parts = self._parts
         if parts is None:
             return
@@ -311,9 +312,9 @@
         if self._grpc is not None:
             self._grpc.close()
             try:
-                await asyncio.wait_for(self._grpc.wait_closed(), SERVER_CLOSE_S)
+                await asyncio.wait_for(self._grpc.wait_closed(), SERVER_CLOSE_TIMEOUT_S)
             except TimeoutError:
-                log.info("life cycle: calls of other VMs were cut")
+                log.info("life cycle: closed while calls of other VMs were in flight")
         await parts.consensus.stop()
         parts.clients.close()
 
--- a/bramleycrank/daemon/http_process.py
+++ b/bramleycrank/daemon/http_process.py
@@ -1,4 +1,4 @@
-"""The process around an `HttpNode`: event loop, signals, logs and the settings file."""
+"""Runs an `HttpNode` as a process: event loop, signals, logs and the settings file."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     Parameters
     ----------
     cfg : HttpNodeConfig
-        What to serve.
+        Options of the node.
     adapter : HttpAdapter
-        Translates the protocol around the product.
+        Translates the HTTP protocol of the deployment.
     metrics : ExposedMetrics
         Receiver of metrics.
     settings : SettingsFile
-        Read again after SIGHUP, and when it changes without one.
+        Reloaded after SIGHUP and whenever the file changes.
     """
     logs.configure_stdout(cfg.base.logging, cfg.base.vm.id)
-    return asyncio.run(_live(cfg, adapter, metrics, settings))
+    return asyncio.run(_run_node(cfg, adapter, metrics, settings))
 
 
-async def _live(
+async def _run_node(
     cfg: HttpNodeConfig,
     adapter: HttpAdapter,
     metrics: ExposedMetrics,
@@ -46,14 +46,14 @@
 ) -> int:
     loop = asyncio.get_running_loop()
     node = HttpNode(cfg, adapter, metrics, metrics.render)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _stop, node, number)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, _stop, node, signum)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, settings)
     log.info("process: start", extra={"domain": cfg.base.vm.domain, "entry": str(cfg.entry)})
     node.life_cycle.start()
-    watch = asyncio.ensure_future(settings.watch(lambda: _reload(node, settings)))
+    watch_task = asyncio.ensure_future(settings.watch(lambda: _reload(node, settings)))
     await node.life_cycle.finished.wait()
-    watch.cancel()
+    watch_task.cancel()
     failure = node.life_cycle.failure
     log.info("process: stop", extra={"failure": repr(failure) if failure else ""})
     if failure is None:
@@ -61,13 +61,13 @@
     return failure.exit_code if isinstance(failure, BramleycrankError) else 1
 
 
-def _stop(node: HttpNode, number: signal.Signals) -> None:
-    log.info("process: told to stop", extra={"signal": number.name})
+def _stop(node: HttpNode, signum: signal.Signals) -> None:
+    log.info("process: told to stop", extra={"signal": signum.name})
     node.life_cycle.stop()
 
 
 def _reload(node: HttpNode, settings: SettingsFile) -> None:
-    """Take over the seeds of a changed settings file; what else changes needs a restart."""
+    """Apply the seeds of a changed settings file; other changes require a restart."""
     cfg = settings.reload()
     if cfg is None:
         return
--- a/bramleycrank/daemon/main.py
+++ b/bramleycrank/daemon/main.py
@@ -17,7 +17,7 @@
 
 
 def serve(settings: str) -> None:
-    """Run the daemon until SIGTERM or SIGINT, then stop without cutting a request.
+    """Run the daemon until SIGTERM or SIGINT, then finish the requests in flight and stop.
 
     Parameters
     ----------
@@ -42,15 +42,15 @@
     from bramleycrank.daemon.node import Node
 
     node = Node(cfg)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.life_cycle.stop)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, node.life_cycle.stop)
 
-    async def live() -> None:
+    async def run_node() -> None:
         node.life_cycle.start()
         await node.life_cycle.finished.wait()
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: setattr(node, "main_task", loop.create_task(live())))
+    reactor.callWhenRunning(lambda: setattr(node, "main_task", loop.create_task(run_node())))
     reactor.run(installSignalHandlers=False)
     return _exit_code(node.life_cycle.failure)
 
@@ -62,7 +62,7 @@
 
 
 def main() -> None:
-    """Run the program; the exit code is that of the error type."""
+    """Run the program; an error sets the exit code of its type."""
     try:
         fire.Fire(serve)
     except BramleycrankError as exc:
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -1,4 +1,4 @@
-"""Runs the membership cores: sends their messages by grpclib and tells others about changes."""
+"""Runs the membership cores: sends their messages by gRPC and notifies subscribers of changes."""
 
 from __future__ import annotations
 
@@ -47,22 +47,22 @@
 
 log = logging.getLogger(__name__)
 
-# Longest sleep between two ticks; leases and grace times are checked this often.
+# Longest time between two ticks, which check leases and grace periods.
 TICK_S = 0.25
 
-# How long Leave waits until the other VMs acknowledged the record before it answers the target.
+# Longest wait of Leave for the acknowledgements of the other VMs before it replies.
 LEAVE_WAIT_S = 0.5
 
-# How long an announcement waits until this VM has joined. Targets give a report up after 1 s.
+# Longest wait of an announcement until this VM has joined. Reports of targets time out after 1 s.
 JOIN_WAIT_S = 0.6
 
-# How long the push of a new target waits for others that report at the same time.
-NEW_BATCH_S = 0.03
+# Delay of the push of a new target, to batch it with others that report at the same time.
+NEW_TARGETS_BATCH_S = 0.03
 
-# What a target that announces too early waits before it tries again.
+# Retry-after for a target that announces before this VM has joined.
 JOIN_RETRY_MS = 500
 
-# Time between two looks while something waits for the join, in seconds.
+# Polling period while a call waits for this VM to join.
 JOIN_POLL_S = 0.02
 
 
@@ -72,14 +72,14 @@
     Parameters
     ----------
     cfg : MembershipConfig
-        Options.
+        Options of the membership.
     local : VmRecord
         Record of this VM: id, domain, host and port. Without an incarnation the Unix time in ms is
-        used, which grows with each start; a clock that was set back is corrected by the other VMs.
+        used, which grows with each start; if the clock was set back, gossip corrects it.
     seeds : iterable of str
         ``host:port`` of other VMs.
     clients : PeerClients
-        Connections to other VMs; the owner closes them.
+        Connections to other VMs; the caller closes them.
     rng : random.Random, optional
         Source of random choices.
     clock : callable, optional
@@ -115,20 +115,20 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._loop_task: asyncio.Task[None] | None = None
         self._draining = False
-        self._leaving: dict[str, asyncio.Event] = {}  # set once all VMs know of the leaving target
-        self._dead = DeadVms()
+        self._leaves_in_progress: dict[str, asyncio.Event] = {}  # set once all VMs acknowledged it
+        self._dead_vms = DeadVms()
 
     @classmethod
     def from_config(
         cls, cfg: MembershipConfig, local: VmRecord, seeds: Iterable[str], clients: PeerClients
     ) -> MembershipController:
-        """Return a controller that is not started."""
+        """Return a controller with the default clock and random source; it is not started."""
         return cls(cfg, local, seeds, clients)
 
     async def start(self) -> None:
-        """Start probing; return when the VM has joined, or no seed answered in time.
+        """Start probing; return when the VM has joined or no seed has replied in time.
 
-        The gRPC server of this VM must be listening before.
+        The gRPC server of this VM must be listening before this call.
         """
         self._loop_task = asyncio.create_task(self._run())
         while not self.core.joined:
@@ -136,19 +136,19 @@
         log.info("membership: joined with %d VMs", len(self.vms()))
 
     async def stop(self) -> None:
-        """Stop without telling others; use `leave` before for a graceful stop."""
+        """Stop without an announcement; call `leave` first for a graceful stop."""
         tasks = [*self._tasks, *([self._loop_task] if self._loop_task else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def drain(self) -> None:
-        """Tell others that this VM drains; targets are sent to other home VMs from now on."""
+        """Announce that this VM drains; targets are referred to other home VMs from now on."""
         self._draining = True
         self._execute(self.core.drain(self._clock()))
 
     def resume(self) -> None:
-        """Tell others that this VM no longer drains."""
+        """Announce that this VM no longer drains."""
         local = self.core.local
         if not self._draining or local.state != VM_STATE_DRAINING:
             return
@@ -156,9 +156,9 @@
         self._execute(self.core.resume(self._clock()))
 
     async def leave(self, timeout_s: float = 1.0) -> None:
-        """Tell others that this VM left, waiting at most `timeout_s` seconds for their answers."""
+        """Announce that this VM left; wait at most `timeout_s` seconds for the replies."""
         self._draining = True
-        await self._finish(self._execute(self.core.leave(self._clock())), timeout_s)
+        await self._wait_for_tasks(self._execute(self.core.leave(self._clock())), timeout_s)
 
     # Views for other controllers.
 
@@ -167,15 +167,18 @@
         return self.core.live_vms(self._clock())
 
     def all_vms(self) -> list[VmRecord]:
-        """Return all known VMs; left ones for their retention, dead ones for `LIST_DEAD_S`."""
-        return self._dead.added_to(self.core.all_vms(), self._clock())
+        """Return all known VMs, also those that left or are dead, until their retention ends.
+
+        Dead VMs are listed for `LIST_DEAD_S`.
+        """
+        return self._dead_vms.added_to(self.core.all_vms(), self._clock())
 
     def targets(self, service: str) -> list[TargetRecord]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that may receive new sub-requests."""
         return self.registry.usable(service, self._clock())
 
     def all_targets(self) -> list[TargetRecord]:
-        """Return all known targets, the ended ones included."""
+        """Return all known targets, including those that left or expired."""
         return self.registry.all_records()
 
     def incarnation_of(self, target_id: str) -> int | None:
@@ -184,35 +187,35 @@
         return known.incarnation if known is not None else None
 
     def is_usable(self, target_id: str) -> bool:
-        """Return whether a target may get new work."""
+        """Return whether a target may receive new sub-requests."""
         return self.registry.is_usable(target_id)
 
     def vm_count(self, domain: str | None = None) -> int:
-        """Return how many VMs count for connection and slot budgets."""
+        """Return the number of VMs that share the connections and slots of targets."""
         return self.core.budget_count(self._clock(), domain)
 
     def subscribe_targets(self, callback: Callable[[TargetRecord], None]) -> None:
-        """Call back with the record whenever a target's record or usability changes."""
+        """Call back with the record of a target whenever it or its usability changes."""
         self._target_callbacks.append(callback)
 
     def subscribe_vms(self, callback: Callable[[VmRecord], None]) -> None:
-        """Call back with the record whenever the record of a VM changes."""
+        """Call back with the record of a VM whenever it changes."""
         self._vm_callbacks.append(callback)
 
     def set_config_status(self, provider: Callable[[], ConfigStatus]) -> None:
-        """Set the source of the `ConfigStatus` that rides on each gossip message."""
+        """Set the source of the `ConfigStatus` that each gossip message includes."""
         self._config_status = provider
 
     def subscribe_config_status(self, callback: Callable[[str, ConfigStatus], None]) -> None:
-        """Call back with ``host:port`` and status of the sender of each gossip message."""
+        """Call back with ``host:port`` and the configuration status of each gossip sender."""
         self._status_callbacks.append(callback)
 
     def subscribe_config_replies(
         self, callback: Callable[[str, ConfigStatus, float], None]
     ) -> None:
-        """Call back for each reply with the address, the status and when the request was sent.
+        """Call back for each reply with its sender's address and status and the request's time.
 
-        A reply is no older than its request, so it bounds the age of what it says.
+        The status in a reply is no older than the request, so that time bounds its age.
         """
         self._reply_callbacks.append(callback)
 
@@ -224,36 +227,36 @@
     # Calls from the servers of this VM.
 
     async def on_probe(self, request: ProbeRequest) -> ProbeReply:
-        """Answer `Peer.Probe`; probes a third VM first if the request asks for it."""
-        self._note_status(request.gossip)
+        """Handle `Peer.Probe`; first probe a third VM if the request asks for it."""
+        self._notify_status(request.gossip)
         reply, actions = self.core.on_probe(request, self._clock())
         relays = [action for action in actions if isinstance(action, RelayProbe)]
         self._execute(action for action in actions if not isinstance(action, RelayProbe))
         for relay in relays:
             reply.indirect_ok = await self._relay(relay)
-        self._add_status(reply.gossip)
+        self._attach_status(reply.gossip)
         return reply
 
     async def on_sync(self, request: SyncRequest) -> SyncReply:
-        """Answer `Peer.Sync`."""
-        self._note_status(request.gossip)
+        """Handle `Peer.Sync`."""
+        self._notify_status(request.gossip)
         reply, actions = self.core.on_sync(request, self._clock())
         self._execute(actions)
-        self._add_status(reply.gossip)
+        self._attach_status(reply.gossip)
         return reply
 
     async def announce(self, request: AnnounceRequest) -> AnnounceReply:
-        """Answer `Registry.Announce`.
+        """Handle `Registry.Announce`.
 
         Raises
         ------
         Draining
-            If this VM drains; the target announces to another VM.
+            This VM drains; the target has to announce to another VM.
         Refused
-            If this VM has not joined within `JOIN_WAIT_S`. It may not know that the target left,
-            and would give new work to a target that a delayed announcement brings back.
+            This VM has not joined within `JOIN_WAIT_S`. It may not know yet that the target left,
+            and a delayed announcement would make it send new sub-requests to that target.
         InvalidRequest
-            If the announcement is invalid or too old.
+            The announcement is invalid or outdated.
         """
         deadline = self._clock() + JOIN_WAIT_S
         while not self.core.joined and not self._draining and self._clock() < deadline:
@@ -264,36 +267,37 @@
             raise Refused(
                 "the VM is joining", outcome=Outcome.NOT_RUN, retry_after_ms=JOIN_RETRY_MS
             )
-        pushing = self.registry.has_new
+        push_scheduled = self.registry.has_new
         reply, actions = self.registry.announce(request, self._clock())
         self._execute(actions)
-        if self.registry.has_new and not pushing:
-            self._spawn(self._push_new())
+        if self.registry.has_new and not push_scheduled:
+            self._spawn(self._push_new_targets())
         return reply
 
-    async def _push_new(self) -> None:
-        """Tell others of new targets; those that report together travel together.
+    async def _push_new_targets(self) -> None:
+        """Push new targets to other VMs in one batch, after a short delay.
 
-        Load pattern: after a loss of power all targets report anew, and callers wait for them.
+        After a power loss all targets announce themselves at about the same time, and callers
+        wait for them.
         """
-        await asyncio.sleep(NEW_BATCH_S)
+        await asyncio.sleep(NEW_TARGETS_BATCH_S)
         self._execute(self.registry.push_new())
 
     async def leave_target(self, request: LeaveRequest) -> LeaveReply:
-        """Answer `Registry.Leave` once the other VMs acknowledged the record or 0.5 s passed.
+        """Handle `Registry.Leave`; reply once the other VMs acknowledged the record or after 0.5 s.
 
-        Answering at once would lose the record if this VM died right after the answer.
+        An immediate reply would lose the record if this VM failed right after it.
         """
         target_id = request.target_id
         self._execute(self.registry.leave(request, self._clock()))
         if self.core.is_spreading(target_id):
-            known = self._leaving.setdefault(target_id, asyncio.Event())
+            acknowledged = self._leaves_in_progress.setdefault(target_id, asyncio.Event())
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(known.wait(), LEAVE_WAIT_S)
+                await asyncio.wait_for(acknowledged.wait(), LEAVE_WAIT_S)
         return LeaveReply()
 
     def note_leaving(self, target_id: str, incarnation: int) -> None:
-        """Record that a target itself said that it leaves."""
+        """Record that a target announced to this VM that it leaves."""
         self._execute(self.registry.note_leaving(target_id, incarnation, self._clock()))
 
     # Execution of actions.
@@ -323,7 +327,7 @@
                     notify(self._target_callbacks, record)
                 case VmChanged(record=record):
                     log.info("membership: %s is now %s", record.vm_id, state_name(record))
-                    self._dead.on_change(record, self._clock())
+                    self._dead_vms.on_change(record, self._clock())
                     notify(self._vm_callbacks, record)
         return tasks
 
@@ -334,19 +338,20 @@
         return task
 
     @staticmethod
-    async def _finish(tasks: list[asyncio.Task[Any]], timeout_s: float) -> None:
+    async def _wait_for_tasks(tasks: list[asyncio.Task[Any]], timeout_s: float) -> None:
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_s)
 
     async def _call(
         self, method: str, action: SendProbe | SendSync | RelayProbe
     ) -> ProbeReply | SyncReply | None:
-        """Send the request of an action; return the answer, or None if there is none.
+        """Send the request of an action; return the reply, or None if the call failed.
 
-        Besides typed errors grpclib raises, for example, AttributeError for a connection that it
-        has just closed. The core must hear of every failure, or it waits for this answer for good.
+        Besides typed errors, grpclib raises for example AttributeError for a connection that it
+        has just closed. Every failure must be reported to the core, which otherwise waits for the
+        reply forever.
         """
-        self._add_status(action.request.gossip)
+        self._attach_status(action.request.gossip)
         sent_at = self._clock()
         try:
             reply = await self._clients.call(
@@ -357,12 +362,12 @@
                 purpose=action.purpose,
             )
         except BramleycrankError as exc:
-            log.debug("membership: no answer to %s from %s: %s", method, action.address, exc)
+            log.debug("membership: no reply to %s from %s: %s", method, action.address, exc)
             return None
         except Exception:
             log.exception("membership: %s to %s failed", method, action.address)
             return None
-        self._note_status(reply.gossip, sent_at)
+        self._notify_status(reply.gossip, sent_at)
         return reply
 
     async def _probe(self, action: SendProbe) -> None:
@@ -371,8 +376,8 @@
             self._execute(self.core.on_probe_failed(action.probe_id, self._clock()))
         else:
             self._execute(self.core.on_probe_reply(action.probe_id, reply, self._clock()))
-        for target_id in [i for i in self._leaving if not self.core.is_spreading(i)]:
-            self._leaving.pop(target_id).set()
+        for target_id in [i for i in self._leaves_in_progress if not self.core.is_spreading(i)]:
+            self._leaves_in_progress.pop(target_id).set()
 
     async def _relay(self, action: RelayProbe) -> bool:
         reply = await self._call("Probe", action)
@@ -387,11 +392,11 @@
         else:
             self._execute(self.core.on_sync_reply(action.sync_id, reply, self._clock()))
 
-    def _add_status(self, gossip: Gossip) -> None:
+    def _attach_status(self, gossip: Gossip) -> None:
         if self._config_status is not None:
             gossip.config.CopyFrom(self._config_status())
 
-    def _note_status(self, gossip: Gossip, sent_at: float | None = None) -> None:
+    def _notify_status(self, gossip: Gossip, sent_at: float | None = None) -> None:
         if not (gossip.HasField("config") and gossip.HasField("sender")):
             return
         address = address_of(gossip.sender)
--- a/bramleycrank/daemon/node.py
+++ b/bramleycrank/daemon/node.py
@@ -1,4 +1,4 @@
-"""Builds and wires all parts of a daemon."""
+"""The daemon: builds, starts and stops its parts."""
 
 from __future__ import annotations
 
@@ -31,42 +31,42 @@
 
 log = logging.getLogger(__name__)
 
-# How long a stop waits for calls of other VMs and operators that are still being answered.
-SERVER_CLOSE_S = 1.0
+# Longest wait of a stop for calls of other VMs and operators that are in flight.
+SERVER_CLOSE_TIMEOUT_S = 1.0
 
 
 GAUGE_PERIOD_S = 10.0
 
-# Longest wait of a stop for changes of operators; those that are cut can be sent again.
+# Longest wait of a stop for changes of operators; an interrupted change can be sent again.
 CHANGES_WAIT_S = 5.0
 
-# Longest wait of a starting VM for sessions to the targets that it knows.
+# Longest wait of a starting VM for sessions to its known targets.
 SESSIONS_WAIT_S = 3.0
 
-# Answers that were written when the last request ended still have to leave the sockets.
-FLUSH_S = 0.05
+# Delay for answers that were written but have not left the sockets when the last request ended.
+FLUSH_DELAY_S = 0.05
 
-# Longest wait for callers that read their answers slowly; one that stopped reading ends it.
+# Longest wait for callers that read their answers slowly or not at all.
 FLUSH_LIMIT_S = 10.0
 
 
 @attrs.frozen
 class QueryMetrics:
-    """Passes metrics of the query path on; that path counts in milliseconds."""
+    """Forwards metrics of the query path and converts its milliseconds to seconds."""
 
-    target: metrics_module.Metrics
+    receiver: metrics_module.Metrics
 
     def incr(self, name: str, count: int = 1) -> None:
         """Add to a counter."""
-        self.target.incr(name, count)
+        self.receiver.incr(name, count)
 
     def timing(self, name: str, ms: float) -> None:
         """Record a duration in milliseconds."""
-        self.target.timing(name, ms / 1000)
+        self.receiver.timing(name, ms / 1000)
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
-        self.target.gauge(name, value)
+        self.receiver.gauge(name, value)
 
 
 @attrs.define
@@ -126,13 +126,13 @@
         }
 
     def readiness(self) -> str:
-        """Return an empty string while the VM is ready, otherwise the reason why not."""
+        """Return an empty string while the VM is ready, otherwise the reason why it is not."""
         return "" if self.life_cycle.ready() else f"the VM is {self.life_cycle.state}"
 
     # Steps of the life cycle.
 
     async def start_parts(self) -> None:
-        """Build and start everything; callers are refused until a configuration is in force."""
+        """Build and start all parts; callers are refused until a configuration is in force."""
         parts = self._parts = self._build()
         await parts.consensus.start()
         await parts.config.start()
@@ -146,17 +146,17 @@
         self._report_gauges()
 
     async def join(self) -> None:
-        """Wait until a configuration is in force and sessions to the known targets stand.
+        """Wait until a configuration is in force and all usable targets are connected.
 
-        A VM that is ready before its sessions spends the deadline of its first requests on
-        connecting. Targets that cannot be reached hold this up for a short time only.
+        A VM that was ready before would use up the deadline of its first requests for connecting.
+        The wait for unreachable targets ends after `SESSIONS_WAIT_S`.
         """
         await self._parts.config.wait_in_force()
         deadline = asyncio.get_running_loop().time() + SESSIONS_WAIT_S
-        while asyncio.get_running_loop().time() < deadline and not self._sessions_stand():
+        while asyncio.get_running_loop().time() < deadline and not self._sessions_connected():
             await asyncio.sleep(0.02)
 
-    def _sessions_stand(self) -> bool:
+    def _sessions_connected(self) -> bool:
         parts = self._parts
         usable = (t.target_id for t in parts.membership.all_targets())
         return all(
@@ -166,26 +166,26 @@
         )
 
     async def stop_listening(self) -> None:
-        """Accept no new requests of callers."""
+        """Stop accepting requests of callers."""
         if self._http_port is not None:
             port, self._http_port = self._http_port, None
-            await _as_future(port.stopListening())
+            await _wait_for_deferred(port.stopListening())
 
     async def finish_requests(self, limit_s: float) -> None:
-        """Wait until no request is in flight."""
+        """Wait until no request or change is in flight and all answers are sent, within limits."""
         if not await self._parts.query.drain(limit_s):
             log.warning("life cycle: requests are still in flight after %s s", limit_s)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(limit_s, CHANGES_WAIT_S)
         while self._operator.in_flight and loop.time() < deadline:
             await asyncio.sleep(0.02)
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(FLUSH_DELAY_S)
         deadline = loop.time() + min(limit_s, FLUSH_LIMIT_S)
         while self._site is not None and self._site.flushing and loop.time() < deadline:
             await asyncio.sleep(0.02)
 
     async def close(self) -> None:
-        """Close everything; what was not started is passed over."""
+        """Close all parts that were started."""
         await self.stop_listening()
         if self._parts is None:
             return
@@ -193,12 +193,12 @@
         if self._gauge_timer is not None:
             self._gauge_timer.cancel()
         for step in (parts.query.stop(), parts.sessions.stop(), parts.config.stop()):
-            await _logged(step)
-        await _logged(parts.membership.stop())
+            await _log_failure(step)
+        await _log_failure(parts.membership.stop())
         if self._server is not None:
             self._server.close()
-            await _logged(asyncio.wait_for(self._server.wait_closed(), SERVER_CLOSE_S))
-        await _logged(parts.consensus.stop())
+            await _log_failure(asyncio.wait_for(self._server.wait_closed(), SERVER_CLOSE_TIMEOUT_S))
+        await _log_failure(parts.consensus.stop())
         parts.clients.close()
         parts.metrics.close()
 
@@ -269,15 +269,15 @@
         self.life_cycle.set_operator_drain(config.is_drained(self._cfg.vm.id))
 
 
-async def _logged(step: Awaitable[Any]) -> None:
-    """Run a step of closing; its failure does not keep the others from running."""
+async def _log_failure(step: Awaitable[Any]) -> None:
+    """Run a step of closing; log its failure, so that the other steps still run."""
     try:
         await step
     except Exception:
-        log.exception("life cycle: a part did not close")
+        log.exception("life cycle: closing a part failed")
 
 
-async def _as_future(result: Any) -> None:
-    """Wait for what Twisted returned: a Deferred, or None if it is done already."""
+async def _wait_for_deferred(result: Any) -> None:
+    """Wait for a result of Twisted: a Deferred, or None if the operation is complete."""
     if result is not None:
         await result.asFuture(asyncio.get_running_loop())
--- a/bramleycrank/daemon/query_controller.py
+++ b/bramleycrank/daemon/query_controller.py
@@ -40,14 +40,14 @@
 
 log = logging.getLogger(__name__)
 
-REFRESH_S = 1.0
-"""Period in which the targets of the used services are read again; leases run out silently."""
+REFRESH_PERIOD_S = 1.0
+"""Period of a refresh of the targets of all used services; expired leases cause no event."""
 
 REFRESH_DELAY_S = 0.05
-"""Time for which target changes are collected; hedges and retries see them without a new query."""
+"""Delay that batches target changes; the refresh shows them to hedges and retries."""
 
 DRAIN_RETRY_MS = 100
-"""Retry time of a refusal by a VM that shuts down; other VMs can serve at once."""
+"""Retry-after of refusals while this VM drains; other VMs can serve at once."""
 
 
 def _wall_ms() -> int:
@@ -55,12 +55,12 @@
 
 
 class QueryController:
-    """Executes requests and owns admission, snapshots, replicas and budgets.
+    """Executes requests; owns admission, snapshots, replicas and budgets.
 
     Parameters
     ----------
     vm_id, domain : str
-        Identity and failure domain of this VM.
+        Id and failure domain of this VM.
     clock : callable
         Monotonic time in seconds.
     wall_ms : callable
@@ -84,16 +84,16 @@
     ) -> None:
         rng = rng or random.Random()
         self._domain = domain
-        self._source = targets
+        self._targets = targets
         self._metrics = metrics or NoMetrics()
         self._clock = clock
         self._timer = SharedTimer(clock)
         self._catalog = SnapshotCatalog()
-        self._table = ReplicaTable(domain, rng, cfg.warmup_s)
-        self._policy = make_policy(cfg, self._table, rng)
+        self._replicas = ReplicaTable(domain, rng, cfg.warmup_s)
+        self._policy = make_policy(cfg, self._replicas, rng)
         self._admission = Admission.from_config(cfg)
-        self._stale: dict[str, bool] = {}
-        self._next_refresh: float | None = None
+        self._stale_services: dict[str, bool] = {}
+        self._next_refresh_at: float | None = None
         self._refresh_handle: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._draining = False
@@ -124,19 +124,19 @@
 
     @property
     def in_flight(self) -> int:
-        """Number of requests that are not answered yet, and of claims not completed yet."""
+        """Number of requests in flight and of background tasks that complete or abandon claims."""
         return len(self._tasks)
 
     async def start(self) -> None:
         """Subscribe to target changes and start the periodic refresh."""
-        self._source.subscribe_targets(self._on_target)
-        self._next_refresh = self._clock() + REFRESH_S
+        self._targets.subscribe_targets(self._on_target)
+        self._next_refresh_at = self._clock() + REFRESH_PERIOD_S
         self._timer.update(self)
 
     async def stop(self) -> None:
-        """Stop timers and background work."""
+        """Stop timers and cancel requests and background tasks."""
         self._draining = True
-        self._next_refresh = None
+        self._next_refresh_at = None
         if self._refresh_handle is not None:
             self._refresh_handle.cancel()
         tasks = list(self._tasks)
@@ -148,20 +148,20 @@
     async def execute(self, req: QueryRequest) -> Answer:
         """Return the answer to `req`.
 
-        If the calling task is cancelled, the request is cancelled too, unless it is a
-        non-idempotent one that was dispatched: that one is completed in the log.
+        If the calling task is cancelled, the request is cancelled too. A non-idempotent request
+        that was dispatched runs on, and its claim is completed in the log.
 
         Raises
         ------
         BramleycrankError
-            If the request cannot be answered.
+            The request cannot be answered.
         """
         ctx = RequestContext(req, received_at=self._clock())
         task = self._spawn(self._run(ctx))
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            if task.cancelled():  # by `stop`; the caller is still there
+            if task.cancelled():  # by `stop`; the caller is still connected
                 error = Draining(retry_after_ms=DRAIN_RETRY_MS)
                 settle_outcome(ctx, error)
                 raise error from None
@@ -170,19 +170,19 @@
             raise
 
     async def _run(self, ctx: RequestContext) -> Answer:
-        name = "unexpected"
+        outcome = "unexpected"
         try:
             if self._draining:
                 raise Draining(retry_after_ms=DRAIN_RETRY_MS)
             answer = await self._chain(ctx)
-            name = answer.outcome
+            outcome = answer.outcome
             return answer
         except BramleycrankError as exc:
             settle_outcome(ctx, exc)
-            name = exc.name
+            outcome = exc.name
             raise
         except asyncio.CancelledError:
-            name = "cancelled"
+            outcome = "cancelled"
             raise
         except Exception:
             log.exception("query: a request failed unexpectedly")
@@ -190,7 +190,7 @@
             settle_outcome(ctx, error)
             raise error from None
         finally:
-            self._metrics.incr(f"query.requests.{name}")
+            self._metrics.incr(f"query.requests.{outcome}")
             self._metrics.timing("query.latency", (self._clock() - ctx.received_at) * 1e3)
 
     def _spawn(self, coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -202,69 +202,69 @@
     def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # marks it as retrieved; the caller may have gone away
+            task.exception()  # marks it as retrieved; the caller may have disconnected
 
     async def drain(self, limit_s: float) -> bool:
-        """Wait until nothing is in flight, at most `limit_s`; return whether that was reached.
+        """Wait at most `limit_s` seconds until nothing is in flight; return whether nothing is.
 
-        New requests are refused with `Draining` from the start of this call.
+        New requests are refused with `Draining` as soon as this is called.
         """
         self._draining = True
-        until = self._clock() + limit_s
-        while self._tasks and (left := until - self._clock()) > 0:
-            await asyncio.wait(list(self._tasks), timeout=left)
+        deadline = self._clock() + limit_s
+        while self._tasks and (remaining_s := deadline - self._clock()) > 0:
+            await asyncio.wait(list(self._tasks), timeout=remaining_s)
         return not self._tasks
 
     def set_down(self, target_id: str, down: bool) -> None:
-        """Take over the connection monitor's view of a target."""
+        """Record whether the connection monitor considers a target down."""
         now = self._clock()
-        self._table.set_down(target_id, down, now)
+        self._replicas.set_down(target_id, down, now)
         self._catalog.set_down(target_id, down, now)
 
     def on_load(self, target_id: str, report: LoadReport) -> None:
-        """Take over the load report of a target."""
-        self._table.on_load(target_id, report, self._clock())
+        """Record the load report of a target."""
+        self._replicas.on_load(target_id, report, self._clock())
 
     def _on_target(self, record: TargetRecord) -> None:
-        """Mark a service for a refresh, before its next query and soon."""
-        if record.service not in self._stale:
+        """Mark a service as stale, and schedule a refresh for requests that are running."""
+        if record.service not in self._stale_services:
             return
-        self._stale[record.service] = True
+        self._stale_services[record.service] = True
         if self._refresh_handle is None:
             loop = asyncio.get_running_loop()
             self._refresh_handle = loop.call_later(REFRESH_DELAY_S, self._refresh_all)
 
     def _refresh_all(self) -> None:
         self._refresh_handle = None
-        for service in list(self._stale):
+        for service in list(self._stale_services):
             self._refresh(service)
 
     def _refresh(self, service: str) -> None:
-        """Read the targets of a service again if they may have changed."""
-        if not self._stale.get(service, True):
+        """Read the targets of a service again if it is marked as stale."""
+        if not self._stale_services.get(service, True):
             return
-        self._stale[service] = False
+        self._stale_services[service] = False
         now = self._clock()
-        records = list(self._source.targets(service))
+        records = list(self._targets.targets(service))
         if self._catalog.update(service, records, now):
-            self._table.set_vm_counts({self._domain: self._source.vm_count(self._domain)})
-            self._table.update(service, records, now)
+            self._replicas.set_vm_counts({self._domain: self._targets.vm_count(self._domain)})
+            self._replicas.update(service, records, now)
 
     def next_deadline(self) -> float | None:
         """Return the time of the next periodic refresh."""
-        return self._next_refresh
+        return self._next_refresh_at
 
     def on_time(self, now: float) -> None:
-        """Read the targets of all used services again and report gauges."""
-        self._next_refresh = now + REFRESH_S
-        self._stale = dict.fromkeys(self._stale, True)
+        """Refresh the targets of all used services and report gauges."""
+        self._next_refresh_at = now + REFRESH_PERIOD_S
+        self._stale_services = dict.fromkeys(self._stale_services, True)
         self._refresh_all()
         self._metrics.gauge("query.in_flight", self._admission.in_flight)
         self._metrics.gauge("query.queued", self._admission.queued)
         self._metrics.gauge("query.concurrency_limit", self._admission.limit.value)
 
     def dump(self) -> dict[str, Any]:
-        """Return the state of targets, limits, budgets and snapshots with its explanation."""
+        """Return the state of targets, limits, budgets and snapshots in JSON form."""
         now = self._clock()
         running = [ctx.execution for ctx in self._dispatch.running.values() if ctx.execution]
         return {
@@ -272,7 +272,7 @@
             "in_flight": self.in_flight,
             "admission": self._admission.dump(now),
             "snapshots": self._catalog.dump(now),
-            "targets": self._table.dump(now),
+            "targets": self._replicas.dump(now),
             "budgets": self._policy.dump(now),
             "executions": [execution.dump(now) for execution in running[:100]],
         }
--- a/bramleycrank/daemon/raft_runner.py
+++ b/bramleycrank/daemon/raft_runner.py
@@ -1,8 +1,8 @@
-"""Runs one consensus core with its log files and its replicated state.
+"""Runs one `RaftNode` with its log files and its replicated state.
 
-Everything that one loop turn brings is handled together: messages first, then all waiting
-proposals as one batch with one sync of the log, then timers. Actions are executed in the order
-of the core, so a record is synced before any message that depends on it.
+All events of one iteration of the event loop are handled together: messages first, then all queued
+proposals as one batch with one sync of the log, then timers. Actions are executed in the order in
+which the node returns them, so a record is synced before any message that depends on it.
 """
 
 from __future__ import annotations
@@ -36,28 +36,28 @@
 
 
 class Listener(Protocol):
-    """Is told what the consensus core did."""
+    """Receives notifications of changes in the Raft node."""
 
     def on_applied(self) -> None:
-        """Take note that entries or a snapshot were applied."""
+        """Handle that log entries or a snapshot were applied."""
 
     def on_role(self) -> None:
-        """Take note that the role, the term or the known leader changed."""
+        """Handle a change of the role, the term or the known leader, or a failure of the node."""
 
 
 @attrs.define
-class _Waiting:
-    """Futures of callers by proposal or read id."""
+class _PendingCalls:
+    """Futures of callers, by proposal id or read id."""
 
     proposals: dict[str, asyncio.Future] = attrs.field(factory=dict)
     reads: dict[str, asyncio.Future] = attrs.field(factory=dict)
 
     def fail_all(self, error: Callable[[], BramleycrankError]) -> None:
-        """Fail every future."""
+        """Fail every future with a new error."""
         for futures in (self.proposals, self.reads):
-            pending = list(futures.values())
+            to_fail = list(futures.values())
             futures.clear()
-            for future in pending:
+            for future in to_fail:
                 _fail(future, error())
 
 
@@ -77,19 +77,19 @@
     Parameters
     ----------
     node : RaftNode
-        The consensus core.
+        The Raft node.
     store : LogStore
-        Its log files.
+        Log files of the node.
     state : ReplicatedState
-        The state at the snapshot that the core was loaded with.
+        Replicated state of the snapshot that the node was loaded with.
     links : ConsensusLinks
         Sends messages to other nodes.
     listener : Listener
-        Told about applied entries and changes of role.
+        Notified of applied entries and changes of the role.
     metrics : Metrics
         Receiver of metrics.
     applied_index : int, optional
-        Index that the state covers.
+        Index of the last log entry that `state` includes.
     """
 
     def __init__(
@@ -113,30 +113,30 @@
         self._loop = asyncio.get_running_loop()
         self._inbox: list[log_pb2.ConsensusMessage] = []
         self._batch: list[types.Proposal] = []
-        self._waiting = _Waiting()
+        self._pending = _PendingCalls()
         self._compacted_index = applied_index
-        self._turn_handle: asyncio.Handle | None = None
+        self._iteration_handle: asyncio.Handle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     def start(self) -> None:
-        """Start the timers of the core."""
+        """Start the timer of the node."""
         self._set_timer()
 
     def close(self) -> None:
-        """Stop; callers that still wait learn that their outcome is unknown."""
+        """Stop; pending calls fail with `ProposalOutcomeUnknown`."""
         self._closed = True
-        for handle in (self._turn_handle, self._timer):
+        for handle in (self._iteration_handle, self._timer):
             if handle is not None:
                 handle.cancel()
-        self._waiting.fail_all(ProposalOutcomeUnknown)
+        self._pending.fail_all(ProposalOutcomeUnknown)
 
     def receive(self, message: log_pb2.ConsensusMessage) -> None:
-        """Queue a message of another node for the next loop turn."""
+        """Queue a message of another node for the next iteration of the event loop."""
         if self._closed or self.failure:
             return
         self._inbox.append(message)
-        self._schedule()
+        self._schedule_iteration()
 
     def propose(self, proposal_id: str, command: log_pb2.Command) -> asyncio.Future:
         """Queue a command for the next loop turn.
@@ -147,22 +147,22 @@
             Result of the command; `NotLeader` if it is in no log, `ProposalOutcomeUnknown` if
             it may still be committed.
         """
-        known = proposal_id in self._waiting.proposals
-        future = self._wait(self._waiting.proposals, proposal_id)
+        known = proposal_id in self._pending.proposals
+        future = self._future_for(self._pending.proposals, proposal_id)
         if not known and not future.done():
             self._batch.append(types.Proposal(proposal_id, command.SerializeToString()))
-            self._schedule()
+            self._schedule_iteration()
         return future
 
     def change_membership(self, proposal_id: str, change: object) -> asyncio.Future:
-        """Propose one change of the voting VMs."""
-        future = self._wait(self._waiting.proposals, proposal_id)
+        """Propose one change of the members."""
+        future = self._future_for(self._pending.proposals, proposal_id)
         self._run(lambda now: self.node.change_membership(proposal_id, change, now))
         return future
 
     def read_index(self, read_id: str) -> asyncio.Future:
-        """Ask a quorum to confirm the leadership; the result is the index that a read must see."""
-        future = self._wait(self._waiting.reads, read_id)
+        """Have a quorum confirm the leadership; the result is the index to read at."""
+        future = self._future_for(self._pending.reads, read_id)
         self._run(lambda now: self.node.read_index(read_id, now))
         return future
 
@@ -174,7 +174,7 @@
         AlreadyBootstrapped
             The node has a log.
         StorageError
-            The core stopped after a failure, now or earlier; nothing is promised.
+            The node stopped after a failure, now or earlier; the bootstrap may not be durable.
         """
         if not self.failure:
             actions = self.node.bootstrap(membership, self._loop.time())
@@ -183,25 +183,25 @@
             raise StorageError(f"the consensus core is stopped: {self.failure}")
 
     def transfer_leadership(self) -> None:
-        """Ask the most advanced follower to take over."""
+        """Transfer the leadership to the follower with the most recent log."""
         self._run(self.node.transfer_leadership)
 
     def dump(self) -> dict[str, object]:
-        """Return the state of the core, its files and its callers in JSON form."""
+        """Return the state of the node, its files and its pending calls in JSON form."""
         return {
             "failure": repr(self.failure) if self.failure else None,
             "applied_index": self.applied_index,
             "compacted_index": self._compacted_index,
-            "waiting_proposals": len(self._waiting.proposals),
-            "waiting_reads": len(self._waiting.reads),
+            "waiting_proposals": len(self._pending.proposals),
+            "waiting_reads": len(self._pending.reads),
             "core": self.node.dump(),
             "state": self.state.dump(),
             "storage": self._store.dump(),
             "links": self._links.dump(self._loop.time()),
         }
 
-    def _wait(self, futures: dict[str, asyncio.Future], key: str) -> asyncio.Future:
-        """Return the future of an id; the same id waits on the same future."""
+    def _future_for(self, futures: dict[str, asyncio.Future], key: str) -> asyncio.Future:
+        """Return the future of an id; calls with the same id share it."""
         future = futures.get(key)
         if future is None or future.done():
             future = futures[key] = self._loop.create_future()
@@ -215,14 +215,14 @@
         if futures.get(key) is done:
             del futures[key]
         if not done.cancelled():
-            done.exception()  # A caller that has gone away reads it no more.
+            done.exception()  # Marks it as retrieved; the caller may no longer wait.
 
-    def _schedule(self) -> None:
-        if self._turn_handle is None and not self._closed and not self.failure:
-            self._turn_handle = self._loop.call_soon(self._turn)
+    def _schedule_iteration(self) -> None:
+        if self._iteration_handle is None and not self._closed and not self.failure:
+            self._iteration_handle = self._loop.call_soon(self._run_iteration)
 
-    def _turn(self) -> None:
-        self._turn_handle = None
+    def _run_iteration(self) -> None:
+        self._iteration_handle = None
         inbox, self._inbox = self._inbox, []
         batch, self._batch = self._batch, []
         for message in inbox:
@@ -233,10 +233,10 @@
             self._run(self.node.tick)
 
     def _run(self, event: Callable[[float], Sequence[object]]) -> None:
-        """Feed one event to the core and execute what it answers.
+        """Pass one event to the node and execute the actions that it returns.
 
-        A failure of the files leaves the core with promises that it could not make durable, so
-        it never runs again in this process.
+        After a failure to write the log files, the node's state in memory is ahead of the durable
+        state, so it must not run again: it could acknowledge entries or votes that are not durable.
         """
         if self._closed or self.failure:
             return
@@ -247,19 +247,19 @@
         except Exception as exc:
             log.exception("consensus: stopped after a failure")
             self.failure = exc
-            self._waiting.fail_all(self._stopped)
+            self._pending.fail_all(self._stopped_error)
             self._listener.on_role()
         else:
             self._set_timer()
 
-    def _stopped(self) -> BramleycrankError:
+    def _stopped_error(self) -> BramleycrankError:
         kind = StorageError if isinstance(self.failure, OSError | StorageError) else InternalError
         return ProposalOutcomeUnknown(f"{kind.__name__}: {self.failure}")
 
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(self.node.next_deadline(), self._schedule)
+        self._timer = self._loop.call_at(self.node.next_deadline(), self._schedule_iteration)
 
     def _execute(self, action: object) -> None:
         match action:
@@ -276,14 +276,14 @@
             case types.RestoreState():
                 self._restore(action.snapshot)
             case types.ProposalRejected():
-                _fail(self._waiting.proposals.get(action.proposal_id), action.error)
+                _fail(self._pending.proposals.get(action.proposal_id), action.error)
             case types.ProposalUnresolved():
                 error = ProposalOutcomeUnknown("leadership was lost")
-                _fail(self._waiting.proposals.get(action.proposal_id), error)
+                _fail(self._pending.proposals.get(action.proposal_id), error)
             case types.ReadReady():
-                _resolve(self._waiting.reads.get(action.read_id), action.index)
+                _resolve(self._pending.reads.get(action.read_id), action.index)
             case types.ReadFailed():
-                _fail(self._waiting.reads.get(action.read_id), action.error)
+                _fail(self._pending.reads.get(action.read_id), action.error)
             case types.RoleChanged():
                 log.info("consensus: %s in term %s", action.role, action.term)
                 self._metrics.incr("consensus.role_changes")
@@ -295,7 +295,7 @@
         for entry in entries:
             result = self.state.apply(entry)
             self.applied_index = entry.index
-            _resolve(self._waiting.proposals.get(entry.proposal_id), result)
+            _resolve(self._pending.proposals.get(entry.proposal_id), result)
         self._listener.on_applied()
 
     def _restore(self, snapshot: log_pb2.LogSnapshot) -> None:
--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -1,4 +1,4 @@
-"""Owns the sessions to all targets: sends sub-requests and executes the monitors' decisions."""
+"""Owns the sessions to all targets: sends sub-requests and drives the connection monitors."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 log = logging.getLogger(__name__)
 
-# Time between two ticks of the monitors: a fifth of the shortest silence that matters.
+# Tick period of the monitors: a fifth of the shortest silence that they act on.
 TICK_S = 0.05
 
-# Ticks between two counts of the VMs, which read all of their records.
-COUNT_TURNS = 10
+# Number of ticks between two counts of the VMs; a count reads all of their records.
+COUNT_PERIOD_TICKS = 10
 
-# How long sessions of targets that left may finish their work when this VM stops.
-CLOSE_WAIT_S = 1.0
+# Longest wait of a stop for the sessions to close.
+CLOSE_TIMEOUT_S = 1.0
 
 
 class _Settings(Protocol):
-    """The part of `Settings` that is needed."""
+    """The part of `Settings` that the controller reads."""
 
     vm: Any
     connections: Any
@@ -39,15 +39,15 @@
 class SessionController:
     """Keeps a session to every usable target and sends sub-requests on it.
 
-    A target that is no longer usable gets no new work from the moment the registry says so; its
-    session is closed when its work in flight has ended.
+    A target gets no new sub-requests as soon as the registry reports it as unusable. Its session
+    is closed when its sub-requests in flight have ended.
 
     Parameters
     ----------
     vm_id : str
-        This VM.
+        Id of this VM.
     cfg : ConnectionConfig
-        Options.
+        Options of the connections.
     membership : MembershipController
         Source of targets and of the number of VMs.
     metrics : Metrics, optional
@@ -88,8 +88,8 @@
         self._retiring: set[TargetLink] = set()
         self._down_callbacks: list[Callable[[str, bool], None]] = []
         self._load_callbacks: list[Callable[[str, LoadReport], None]] = []
-        # Ids of an earlier process must not be taken for new ones by a target.
-        self._ids = itertools.count(time.time_ns() // 1000)
+        # Starts at the time, so that ids differ from those of an earlier process of this VM.
+        self._sub_ids = itertools.count(time.time_ns() // 1000)
         self._task: asyncio.Task[None] | None = None
 
     @classmethod
@@ -111,7 +111,7 @@
         )
 
     async def start(self) -> None:
-        """Open sessions to all usable targets and follow the registry from now on."""
+        """Open sessions to all usable targets and subscribe to changes of targets."""
         now = self._clock()
         self._budget = ConnectionBudget(self._context.cfg, now)
         self._budget.on_count(self._membership.vm_count(), now)
@@ -130,13 +130,13 @@
         self._retiring.clear()
         waits = [link.close() for link in links]
         if waits:
-            await asyncio.wait([asyncio.ensure_future(w) for w in waits], timeout=CLOSE_WAIT_S)
+            await asyncio.wait([asyncio.ensure_future(w) for w in waits], timeout=CLOSE_TIMEOUT_S)
 
     # Interface for queries.
 
     def next_sub_id(self) -> int:
-        """Return an id that was never used before by this VM."""
-        return next(self._ids)
+        """Return a sub-request id that this VM has not used before."""
+        return next(self._sub_ids)
 
     def send(self, target_id: str, request: SubRequest, listener: Listener) -> None:
         """Send a sub-request to a target.
@@ -146,11 +146,11 @@
         target_id : str
             The target.
         request : SubRequest
-            The request, with an id of `next_sub_id`.
+            The sub-request, with an id from `next_sub_id`.
         listener : Listener
-            Gets either ``on_reply(reply)`` or ``on_failure(sub_id, reason)``, once, possibly before
-            this call returns; nothing after `cancel`. The reason is a `FailureReason`: ``not_sent``
-            is proof that the request did not run.
+            Called once, with either ``on_reply(reply)`` or ``on_failure(sub_id, reason)``, possibly
+            before this method returns, and not after `cancel`. The reason is a `FailureReason`;
+            ``not_sent`` guarantees that the sub-request did not run.
         """
         link = self._links.get(target_id)
         if link is None:
@@ -159,20 +159,20 @@
         link.send(request, listener)
 
     def cancel(self, sub_id: int, target_id: str) -> None:
-        """Give up a sub-request; its listener hears nothing more of it."""
+        """Cancel a sub-request; its listener is not called any more."""
         for link in self._links_of(target_id):
             link.cancel(sub_id)
 
     def subscribe_down(self, callback: Callable[[str, bool], None]) -> None:
-        """Call back with target id and True when a target is found down, False when it is up."""
+        """Call back with a target id and whether the target is down, at each change."""
         self._down_callbacks.append(callback)
 
     def subscribe_load(self, callback: Callable[[str, LoadReport], None]) -> None:
-        """Call back with target id and report whenever a target reports its load."""
+        """Call back with the target id and the report whenever a target reports its load."""
         self._load_callbacks.append(callback)
 
     def is_connected(self, target_id: str) -> bool:
-        """Return whether new work can be sent to a target at once."""
+        """Return whether a target has a connection that is ready for sub-requests."""
         link = self._links.get(target_id)
         return link is not None and link.monitor.ready_conn is not None
 
@@ -211,7 +211,10 @@
         link.update(record)
 
     def _link_for(self, record: TargetRecord) -> TargetLink:
-        """Return a new link, or the retiring one if it still has work in the same process."""
+        """Return a new link, or the retiring one if it is busy and fits the record.
+
+        A second link would exceed the connection limit of the target.
+        """
         for link in self._links_of(record.target_id):
             if link.busy and link.serves(record):
                 self._retiring.discard(link)
@@ -220,7 +223,10 @@
         return TargetLink(record, self._context)
 
     def _on_leaving(self, target_id: str, incarnation: int) -> None:
-        """Take the target's own word that it leaves; this VM may be cut off from its home VM."""
+        """Record that a target announced on its session that it leaves.
+
+        This VM may be partitioned from the home VM of the target, which would send the record.
+        """
         self._membership.note_leaving(target_id, incarnation)
 
     def _on_down(self, target_id: str, down: bool) -> None:
@@ -235,15 +241,15 @@
             callback(target_id, report)
 
     async def _run(self) -> None:
-        for turn in itertools.count():
+        for tick_number in itertools.count():
             await asyncio.sleep(TICK_S)
             now = self._clock()
-            if turn % COUNT_TURNS == 0:
+            if tick_number % COUNT_PERIOD_TICKS == 0:
                 self._budget.on_count(self._membership.vm_count(), now)
             links = [*self._links.values(), *self._retiring]
-            # Each turn begins with another link: with a fixed order the first ones would take
-            # every reconnect of the budget while many targets are down.
-            start = turn % max(1, len(links))
+            # Each tick starts at another link. In a fixed order, the first links would use up the
+            # whole reconnect budget while many targets are down.
+            start = tick_number % max(1, len(links))
             for link in [*links[start:], *links[:start]]:
                 try:
                     link.tick(now)
