--- a/bramleycrank/daemon/node.py
+++ b/bramleycrank/daemon/node.py
@@ -54,19 +54,19 @@
 class QueryMetrics:
     """Forwards metrics of the query path and converts its milliseconds to seconds."""
 
-    receiver: metrics_module.Metrics
+    target: metrics_module.Metrics
 
     def incr(self, name: str, count: int = 1) -> None:
         """Add to a counter."""
-        self.receiver.incr(name, count)
+        self.target.incr(name, count)
 
     def timing(self, name: str, ms: float) -> None:
         """Record a duration in milliseconds."""
-        self.receiver.timing(name, ms / 1000)
+        self.target.timing(name, ms / 1000)
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
-        self.receiver.gauge(name, value)
+        self.target.gauge(name, value)
 
 
 @attrs.define
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -1,4 +1,4 @@
-"""The configuration on one VM: pushes by the leader, the cache, lookups and fetches."""
+"""Configuration controller: pushes of new revisions, cache, lookups and fetches."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class World:
-    """A voter with a real state; stands for the consensus, the peers, the clients and the cache."""
+    """A voter with a real `ReplicatedState`; fakes the consensus, peers, clients and cache."""
 
     def __init__(self, peers=20, cached=None):
         self.cached = cached
@@ -105,7 +105,7 @@
         for callback in self.callbacks:
             callback()
 
-    def put(self, name):
+    def put_service(self, name):
         service = log_pb2.ServiceConfig(name=name)
         self.apply(log_pb2.Command(change=log_pb2.Change(change_id=name, put_service=service)))
 
@@ -123,10 +123,11 @@
 
 
 def test_leader_pushes_a_confirmed_revision_at_once_to_a_few_vms():
-    # Without it a change waits for gossip, and 2 s in 99 of 100 cases are out of reach.
+    # Without the push, a change spreads by gossip only, which is too slow to reach every VM within
+    # 2 s in 99 of 100 cases.
     async def scenario(world, controller):
         world.confirmed = True
-        world.put("a")
+        world.put_service("a")
         await asyncio.sleep(0.01)
         assert len(world.pushed) == PUSH_FANOUT
         assert all(revisions == [1] for revisions in world.pushed.values())
@@ -134,11 +135,11 @@
     run(scenario)
 
 
-def test_a_fetched_revision_is_passed_on_at_once_and_only_once():
-    # Without it the time to reach every VM grows with the probe period times the logarithm of
-    # their number.
+def test_a_fetched_revision_is_pushed_at_once_and_only_once():
+    # Without the relay, the time to reach all VMs is the probe period times the logarithm of their
+    # number.
     async def scenario(world, controller):
-        world.state = None  # a VM without a part in the log
+        world.state = None  # a VM without a copy of the log
         change = log_pb2.Change(change_id="a", put_service=log_pb2.ServiceConfig(name="a"))
         status = peer_pb2.ConfigStatus(revision=1, leader_revision=1, confirmed=True)
         delta = log_pb2.ConfigDelta(revision=1, change=change)
@@ -155,11 +156,11 @@
 
 def test_nothing_is_pushed_without_confirmation_or_for_a_claim():
     async def scenario(world, controller):
-        world.put("a")
+        world.put_service("a")
         await asyncio.sleep(0.01)
         assert world.pushed == {}
         world.confirmed = True
-        world.put("b")
+        world.put_service("b")
         await asyncio.sleep(0.01)
         before = {address: list(revisions) for address, revisions in world.pushed.items()}
         claim = log_pb2.ClaimOpen(id=log_pb2.ClaimId(service="a", request_key="k"), attempt_id="x")
@@ -170,13 +171,13 @@
     run(scenario)
 
 
-def test_lookups_tell_an_unknown_service_from_a_missing_configuration():
+def test_lookup_errors_distinguish_unknown_service_from_missing_configuration():
     async def scenario(world, controller):
         with pytest.raises(ConfigurationUnavailable):
             controller.service("a")
         assert controller.stale_ms() > 0
         world.confirmed = True
-        world.put("a")
+        world.put_service("a")
         await asyncio.wait_for(controller.wait_in_force(), 1.0)
         assert controller.service("a").version == 1 and controller.stale_ms() == 0
         with pytest.raises(UnknownService):
@@ -185,14 +186,15 @@
     run(scenario)
 
 
-def test_cached_configuration_serves_nobody_before_it_is_in_force():
-    # A VM that was away for long would answer by what the file held, although it hears the leader.
+def test_cached_configuration_is_not_used_before_it_is_in_force():
+    # Otherwise a VM that was down for a long time would serve by the outdated file, although it
+    # receives messages of the leader.
     async def scenario(world, controller):
         with pytest.raises(ConfigurationUnavailable):
             controller.service("a")
         world.confirmed = True
         for name in "ab":
-            world.put(name)
+            world.put_service(name)
         assert controller.revision == 2
         assert [controller.service(name).version for name in "ab"] == [1, 2]
 
@@ -200,25 +202,26 @@
     run(scenario, cached=cached)
 
 
-def test_subscriber_that_fails_stops_neither_the_others_nor_the_ticks():
-    # The failure reached the consensus core, which then stopped for good, or ended the ticks.
+def test_failing_subscriber_does_not_stop_other_subscribers_or_ticks():
+    # The exception reached the Raft runner, which then stopped for good, or ended the ticks.
     async def scenario(world, controller):
         def fail():
             raise ValueError("subscriber")
 
-        told = []
+        notified = []
         controller.subscribe(fail)
-        controller.subscribe(lambda: told.append(controller.revision))
+        controller.subscribe(lambda: notified.append(controller.revision))
         world.confirmed = True
-        world.put("a")
-        assert told == world.saved == [1]
+        world.put_service("a")
+        assert notified == world.saved == [1]
         await asyncio.wait_for(controller.wait_in_force(), 1.0)
 
     run(scenario)
 
 
-def test_tick_that_fails_is_not_the_last_one(monkeypatch):
-    # Without ticks a VM that hears nothing never asks the leader, and its age only grows.
+def test_ticks_continue_after_a_failed_tick(monkeypatch):
+    # Without ticks, a VM that receives no gossip never fetches from the leader, and its
+    # configuration becomes ever older.
     async def scenario(world, controller):
         ticks = []
 
@@ -234,30 +237,30 @@
     run(scenario)
 
 
-def test_every_revision_in_force_is_saved_and_told():
+def test_every_revision_in_force_is_saved_and_passed_to_subscribers():
     async def scenario(world, controller):
-        told = []
-        controller.subscribe(lambda: told.append(controller.revision))
+        notified = []
+        controller.subscribe(lambda: notified.append(controller.revision))
         world.confirmed = True
         for name in "abc":
-            world.put(name)
-        assert world.saved == told == [1, 2, 3]
+            world.put_service(name)
+        assert world.saved == notified == [1, 2, 3]
 
     run(scenario)
 
 
-def test_full_disk_keeps_no_revision_from_being_in_force():
+def test_revision_is_in_force_although_the_disk_is_full():
     async def scenario(world, controller):
         world.disk_fails = world.confirmed = True
-        world.put("a")
+        world.put_service("a")
         assert controller.revision == 1 and "no space left" in controller.dump()["cache_error"]
 
     run(scenario)
 
 
-def test_confirmed_fetch_is_refused_by_a_vm_that_does_not_lead():
+def test_confirmed_fetch_is_refused_by_a_vm_that_is_not_the_leader():
     async def scenario(world, controller):
-        world.put("a")
+        world.put_service("a")
         request = peer_pb2.FetchConfigRequest(leader_confirmed=True)
         with pytest.raises(NotLeader):
             await controller.on_fetch(request)
--- a/tests/test_daemon_consensus_controller.py
+++ b/tests/test_daemon_consensus_controller.py
@@ -1,4 +1,4 @@
-"""Waiting for the log as the leader: callers that share a proposal do not disturb each other."""
+"""Consensus controller: failing subscribers, claim floors, resent bootstraps and proposals."""
 
 import asyncio
 import random
@@ -14,27 +14,27 @@
 from bramleycrank.proto import log_pb2
 
 
-def member():
+def make_controller():
     identity = Identity(vm_id="own", domain="a", host="127.0.0.1", port=1)
     directory = SimpleNamespace(leader_address=str)
     return ConsensusController(identity, directory, None, random.Random(1))
 
 
-def test_subscriber_that_fails_does_not_stop_the_core():
-    # The runner takes an exception while it executes actions for a failure of the core.
-    controller, told = member(), []
+def test_failing_subscriber_does_not_stop_the_raft_node():
+    # The runner treats an exception during the execution of actions as a failure of the Raft node.
+    controller, notified = make_controller(), []
 
     def fail():
         raise ValueError("subscriber")
 
     controller.subscribe(fail)
-    controller.subscribe(lambda: told.append(1))
+    controller.subscribe(lambda: notified.append(1))
     controller.on_applied()
-    assert told == [1]
+    assert notified == [1]
 
 
 def test_floor_of_claims_is_proposed_again_after_a_failure(monkeypatch):
-    # Without further proposals the claims of all coming days stay in memory.
+    # Without further proposals of a claim floor, all later claims stay in memory.
     monkeypatch.setattr(claim_floors, "FLOOR_PERIOD_S", 0.01)
     calls = []
 
@@ -43,7 +43,7 @@
         raise ValueError("floor")
 
     async def body():
-        controller = member()
+        controller = make_controller()
         state = SimpleNamespace(floor_proposal=floor_proposal)
         node = SimpleNamespace(membership=log_pb2.Membership(members=[log_pb2.Member()]))
         controller._host.runner = SimpleNamespace(node=node, failure=None, state=state)
@@ -57,12 +57,13 @@
     asyncio.run(body())
 
 
-def test_resent_bootstrap_is_refused_by_a_core_that_stopped():
-    # The core had taken over the members when its disk failed, and took the resend for done.
+def test_resent_bootstrap_is_refused_by_a_stopped_raft_node():
+    # The disk failed after the node had set its members in memory, so it treated the
+    # resend as already done.
     def bootstrap(membership):
         raise StorageError("no space left")
 
-    controller = member()
+    controller = make_controller()
     membership = log_pb2.Membership(cluster_id="c")
     controller._host.runner = SimpleNamespace(
         node=SimpleNamespace(membership=membership), failure=OSError(), bootstrap=bootstrap
@@ -71,12 +72,12 @@
         controller.on_bootstrap(membership)
 
 
-def test_caller_that_gives_up_does_not_end_the_wait_of_a_resend():
-    # A resend of a proposal shares the future of the first attempt. The time-out of the first one
-    # cancelled it, and the resend ended without any typed error.
+def test_timeout_of_one_caller_does_not_cancel_a_resent_proposal():
+    # A resent proposal shares the future of the first attempt. The timeout of the first attempt
+    # cancelled the future, and the resend failed with an untyped error.
     async def body():
         result = asyncio.get_running_loop().create_future()
-        controller = member()
+        controller = make_controller()
         controller._host.runner = SimpleNamespace(
             node=SimpleNamespace(role=Role.LEADER), failure=None, propose=lambda *_: result
         )
--- a/tests/test_daemon_node.py
+++ b/tests/test_daemon_node.py
@@ -1,4 +1,4 @@
-"""When a starting VM becomes ready."""
+"""When a starting VM is ready, and when a stopping one has sent its answers."""
 
 import asyncio
 from types import SimpleNamespace
@@ -22,8 +22,8 @@
     return node, in_force
 
 
-def test_vm_joins_when_configuration_and_sessions_stand():
-    # A VM that is ready too early spends its first requests on connecting, or refuses them.
+def test_vm_joins_when_configuration_is_in_force_and_targets_are_connected():
+    # If a VM is ready too early, its first requests wait for connections or are refused.
     async def scenario():
         connected = {"t1"}
         node, in_force = make_node(connected)
@@ -39,7 +39,7 @@
     asyncio.run(scenario())
 
 
-def test_unreachable_target_holds_the_start_up_for_a_short_time_only(monkeypatch):
+def test_unreachable_target_delays_the_start_for_a_bounded_time(monkeypatch):
     monkeypatch.setattr(node_module, "SESSIONS_WAIT_S", 0.1)
 
     async def scenario():
@@ -50,9 +50,9 @@
     asyncio.run(scenario())
 
 
-def test_stop_waits_for_answers_that_are_still_being_sent_for_a_bounded_time(monkeypatch):
-    # A caller that reads slowly would get a part of its answer; one that stopped reading must not
-    # hold the stop.
+def test_stop_waits_a_bounded_time_for_answers_that_are_being_sent(monkeypatch):
+    # Without the wait, a caller that reads slowly gets a truncated answer. A caller that has
+    # stopped reading must not block the stop.
     monkeypatch.setattr(node_module, "FLUSH_LIMIT_S", 0.5)
 
     async def scenario():
--- a/tests/test_daemon_peer_service.py
+++ b/tests/test_daemon_peer_service.py
@@ -1,4 +1,4 @@
-"""Calls of other VMs that must not be trusted or must not wait."""
+"""Peer service: checks of proposals, redirects to the leader, consensus messages."""
 
 import asyncio
 from types import SimpleNamespace
@@ -28,24 +28,24 @@
 
 
 def test_proposal_without_an_id_is_refused():
-    # Entries without an id, such as that of a new leader, would resolve it.
-    with pytest.raises(InvalidRequest) as caught:
+    # An entry without an id, such as the first one of a new leader, would resolve the proposal.
+    with pytest.raises(InvalidRequest) as exc_info:
         call(SimpleNamespace(), "Propose", peer_pb2.ProposeRequest())
-    assert caught.value.outcome is Outcome.NOT_RUN
+    assert exc_info.value.outcome is Outcome.NOT_RUN
 
 
-def test_vm_that_does_not_lead_names_the_leader():
+def test_vm_that_is_not_the_leader_returns_its_address():
     async def propose_local(*_):
         raise NotLeader(leader_address="127.0.0.1:9")
 
     request = peer_pb2.ProposeRequest(proposal_id="p")
-    with pytest.raises(NotLeader) as caught:
+    with pytest.raises(NotLeader) as exc_info:
         call(SimpleNamespace(propose_local=propose_local), "Propose", request)
-    assert caught.value.leader_address == "127.0.0.1:9"
+    assert exc_info.value.leader_address == "127.0.0.1:9"
 
 
-def test_consensus_message_is_acknowledged_without_its_reply():
-    taken = []
+def test_consensus_message_is_acknowledged_without_waiting_for_a_reply():
+    received = []
     message = log_pb2.ConsensusMessage(term=3)
-    call(SimpleNamespace(on_message=taken.append), "Consensus", message)
-    assert taken == [message]
+    call(SimpleNamespace(on_message=received.append), "Consensus", message)
+    assert received == [message]
--- a/tests/test_daemon_raft_runner.py
+++ b/tests/test_daemon_raft_runner.py
@@ -1,4 +1,4 @@
-"""Order of actions, group commit and what a failing disk does to those who wait."""
+"""Raft runner: order of actions, group commit, disk failures and results of proposals."""
 
 import asyncio
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 class World:
-    """A runner whose core answers from a script; `trace` holds what was executed, in order."""
+    """A runner with a fake Raft node that returns `actions`; `trace` lists executed actions."""
 
     def __init__(self):
         self.trace = []
@@ -62,15 +62,15 @@
     asyncio.run(body())
 
 
-async def turn():
+async def run_iterations():
     for _ in range(3):
         await asyncio.sleep(0)
 
 
-def test_proposals_of_one_turn_share_one_sync_before_the_messages():
+def test_proposals_of_one_loop_iteration_share_one_sync_before_messages_are_sent():
     async def scenario(world):
         futures = [world.runner.propose(name, log_pb2.Command()) for name in "abc"]
-        await turn()
+        await run_iterations()
         assert world.batches == [["a", "b", "c"]]
         assert world.trace == ["persist", "send"]
         assert not any(future.done() for future in futures)
@@ -78,22 +78,22 @@
     run(scenario)
 
 
-def test_repeated_proposal_waits_on_the_first():
+def test_resent_proposal_shares_the_future_of_the_first():
     async def scenario(world):
         first = world.runner.propose("a", log_pb2.Command())
         assert world.runner.propose("a", log_pb2.Command()) is first
-        await turn()
+        await run_iterations()
         assert world.batches == [["a"]]
 
     run(scenario)
 
 
-def test_failing_disk_stops_the_core_before_it_promises_anything():
-    # A vote or an acknowledgement that was sent without being durable can lose a commit.
+def test_disk_failure_stops_the_node_before_it_sends_a_message():
+    # A vote or an acknowledgement that is sent before it is durable can lose a committed entry.
     async def scenario(world):
         world.disk_fails = True
         waiting = world.runner.propose("a", log_pb2.Command())
-        await turn()
+        await run_iterations()
         assert world.trace == []
         with pytest.raises(ProposalOutcomeUnknown, match="no space left"):
             await waiting
@@ -101,14 +101,15 @@
         world.runner.receive(log_pb2.ConsensusMessage())
         with pytest.raises(NoQuorum):
             await world.runner.propose("b", log_pb2.Command())
-        await turn()
+        await run_iterations()
         assert world.trace == [] and "no space left" in world.runner.dump()["failure"]
 
     run(scenario)
 
 
-def test_bootstrap_that_reached_no_disk_is_not_acknowledged():
-    # The operator would take a VM for a voter that knows nothing of the cluster after a restart.
+def test_bootstrap_that_is_not_durable_is_not_acknowledged():
+    # Otherwise the operator counts the VM as a voter, which does not know the cluster after a
+    # restart.
     async def scenario(world):
         world.disk_fails = True
         world.node.bootstrap = lambda membership, now: [PERSIST]
@@ -119,7 +120,7 @@
     run(scenario)
 
 
-def test_outcomes_reach_the_proposal_they_belong_to():
+def test_each_outcome_resolves_the_proposal_with_its_id():
     async def scenario(world):
         futures = {name: world.runner.propose(name, log_pb2.Command()) for name in "abc"}
         entry = log_pb2.Entry(index=1, proposal_id="a", command=b"")
@@ -128,8 +129,8 @@
             types.ProposalRejected("b", NoQuorum()),
             types.ProposalUnresolved("c"),
         ]
-        await turn()
-        assert (await futures["a"]).code == log_pb2.RESULT_CODE_INVALID  # An empty command.
+        await run_iterations()
+        assert (await futures["a"]).code == log_pb2.RESULT_CODE_INVALID  # The command is empty.
         with pytest.raises(NoQuorum):
             await futures["b"]
         with pytest.raises(ProposalOutcomeUnknown):
@@ -143,17 +144,17 @@
         entries = [log_pb2.Entry(index=n + 1) for n in range(COMPACT_ENTRIES)]
         world.actions = [types.Apply(tuple(entries[:-1]))]
         world.runner.receive(log_pb2.ConsensusMessage())
-        await turn()
+        await run_iterations()
         assert world.compacted == []
         world.actions = [types.Apply(tuple(entries[-1:]))]
         world.runner.receive(log_pb2.ConsensusMessage())
-        await turn()
+        await run_iterations()
         assert world.compacted == [COMPACT_ENTRIES]
 
     run(scenario)
 
 
-def test_closing_tells_waiting_callers_that_the_outcome_is_unknown():
+def test_closing_fails_pending_proposals_with_outcome_unknown():
     async def scenario(world):
         waiting = world.runner.propose("a", log_pb2.Command())
         world.runner.close()
--- a/tests/test_membership_controller.py
+++ b/tests/test_membership_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the membership controller and the registry server over real grpclib on loopback."""
+"""Membership controller and registry service over real gRPC connections on loopback."""
 
 import asyncio
 import time
@@ -61,7 +61,7 @@
         return self
 
     async def stop(self):
-        # grpclib's server keeps open connections after `close`, so the service fails from now on.
+        # The grpclib server keeps connections open after `close`, so later calls must fail.
         self.service.controller = None
         self.server.close()
         await self.controller.stop()
@@ -91,8 +91,8 @@
     return target_pb2.AnnounceRequest(record=record)
 
 
-def test_target_life_and_departures_over_real_connections():
-    """Guards against gossip, pushes, leases or typed refusals that only work in memory."""
+def test_targets_and_vms_are_announced_expire_and_leave_over_real_connections():
+    """Guards against gossip, pushes, leases or typed errors that fail over real connections."""
 
     async def scenario():
         vms = [await Vm().start("vm-0", [])]
@@ -112,7 +112,7 @@
             await until(lambda: all(len(c.targets("archivio")) == 1 for c in controllers))
             left = target_pb2.LeaveRequest(target_id="t-1", incarnation=1)
             await call(registry.Leave, left, timeout_s=1.0)
-            assert not any(c.targets("archivio") for c in controllers), "pushed before the answer"
+            assert not any(c.targets("archivio") for c in controllers), "pushed before the reply"
             with pytest.raises(InvalidRequest):
                 await call(registry.Announce, announcement(sequence=9), timeout_s=1.0)
             vms[0].controller.drain()
@@ -129,11 +129,14 @@
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_call_that_fails_unexpectedly_counts_as_unanswered():
-    """Guards against exchanges with a peer, and pushes of a leave, that are never tried again."""
+def test_calls_that_fail_with_an_untyped_error_are_retried():
+    """Guards against syncs and pushes of a leaving target that are never retried.
+
+    The core waits for the reply of each call, so it must be told of an untyped failure too.
+    """
 
     class Clients:
-        """Fails each method once as grpclib does for a connection that it has closed itself."""
+        """Fails the first call of each kind, as grpclib does on a connection that it has closed."""
 
         def __init__(self):
             self.calls = []
@@ -165,26 +168,26 @@
     asyncio.run(scenario())
 
 
-def test_vms_that_are_dead_for_long_are_still_listed():
-    """Guards against a status that drops the VMs of a domain that is cut off for minutes."""
+def test_dead_vms_are_listed_for_their_retention_time():
+    """Guards against a status without the VMs of a domain that is partitioned for minutes."""
     now = [1000.0]
     local = peer_pb2.VmRecord(vm_id="own", host="127.0.0.1", port=7000)
     controller = MembershipController(FAST, local, [], PeerClients(), clock=lambda: now[0])
 
-    def tell(vm_id, state, port):
+    def record_state(vm_id, state, port):
         record = peer_pb2.VmRecord(vm_id=vm_id, state=state, host="127.0.0.1", port=port)
         controller._execute([VmChanged(record)])
 
     def listed():
         return {record.vm_id for record in controller.all_vms()}
 
-    # The core has forgotten all of them.
+    # The core has removed all of these records.
     for port, vm_id in enumerate(("cut", "back", "left", "replaced")):
-        tell(vm_id, peer_pb2.VM_STATE_DEAD, port)
+        record_state(vm_id, peer_pb2.VM_STATE_DEAD, port)
     assert listed() == {"own", "cut", "back", "left", "replaced"}
-    tell("back", peer_pb2.VM_STATE_ALIVE, 1)
-    tell("left", peer_pb2.VM_STATE_LEFT, 2)
-    tell("new", peer_pb2.VM_STATE_ALIVE, 3)
+    record_state("back", peer_pb2.VM_STATE_ALIVE, 1)
+    record_state("left", peer_pb2.VM_STATE_LEFT, 2)
+    record_state("new", peer_pb2.VM_STATE_ALIVE, 3)
     now[0] += LIST_DEAD_S - 1
     assert listed() == {"own", "cut"}
     now[0] += 2
--- a/tests/test_query_controller.py
+++ b/tests/test_query_controller.py
@@ -1,7 +1,7 @@
-"""Runs the controller with the whole filter chain on a loop with virtual time.
+"""Runs the query controller with the whole filter chain on an event loop with virtual time.
 
-Guards against answers that mix up requests, requests that hang or outlive their deadline, work that
-is lost or left behind after a cancellation, and a drain that cuts requests.
+Guards against answers to the wrong request, requests that hang or exceed their deadline, work that
+is lost or not cleaned up after a cancellation, and a drain that interrupts requests.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class System:
-    """A controller with fakes around it."""
+    """A controller with fake sessions, targets, configuration and log."""
 
     def __init__(self, seed: int = 1, policy: str = "adaptive", shards: int = 3) -> None:
         self.loop = asyncio.get_running_loop()
@@ -68,13 +68,13 @@
             clock=self.loop.time,
             wall_ms=lambda: 1_000_000,
         )
-        self.sessions.on_send = self.behave
+        self.sessions.on_send = self.reply_correctly
 
-    def behave(self, target_id: str, request, listener) -> None:
-        """Answer after a short while, as a correct target does."""
-        self.loop.call_later(0.01, listener.on_reply, self.echo(request))
+    def reply_correctly(self, target_id: str, request, listener) -> None:
+        """Reply after 10 ms, as a correct target does."""
+        self.loop.call_later(0.01, listener.on_reply, self.make_reply(request))
 
-    def echo(self, request, status: int = SUB_STATUS_OK):
+    def make_reply(self, request, status: int = SUB_STATUS_OK):
         reply = reply_to(request, status)
         if status == SUB_STATUS_OK:
             reply.ClearField("hits")
@@ -84,33 +84,37 @@
         return reply
 
     def count_run(self, request) -> None:
-        """Count a run of a non-idempotent request; what may have run counts too."""
+        """Count a run, or a possible run, of a non-idempotent request."""
         if request.request_key:
             self.runs[request.request_key] = self.runs.get(request.request_key, 0) + 1
 
-    def misbehave(self, target_id: str, request, listener) -> None:
-        """Answer late, twice, wrongly, synchronously or never."""
+    def reply_with_faults(self, target_id: str, request, listener) -> None:
+        """Reply late, twice, with an error, synchronously or never."""
         rng, later = self.rng, self.loop.call_later
-        draw = rng.random()
-        if draw < 0.05:
+        fault_draw = rng.random()
+        if fault_draw < 0.05:
             listener.on_failure(request.sub_id, FailureReason.NOT_SENT)
-        elif draw < 0.10:
+        elif fault_draw < 0.10:
             self.count_run(request)
             later(rng.random(), listener.on_failure, request.sub_id, FailureReason.CONNECTION_LOST)
-        elif draw < 0.15:
+        elif fault_draw < 0.15:
             self.count_run(request)
-        elif draw < 0.30:
+        elif fault_draw < 0.30:
             refusals = (
                 SUB_STATUS_SHED,
                 SUB_STATUS_FAILED,
                 SUB_STATUS_LEAVING,
                 SUB_STATUS_SNAPSHOT_GONE,
             )
-            later(rng.random() * 0.05, listener.on_reply, self.echo(request, rng.choice(refusals)))
-        elif draw < 0.35:
-            listener.on_reply(self.echo(request))
+            later(
+                rng.random() * 0.05,
+                listener.on_reply,
+                self.make_reply(request, rng.choice(refusals)),
+            )
+        elif fault_draw < 0.35:
+            listener.on_reply(self.make_reply(request))
         else:
-            reply = self.echo(request)
+            reply = self.make_reply(request)
             for _ in range(rng.choice((1, 1, 2))):
                 later(rng.choice((0.005, 0.02, 0.7)), listener.on_reply, reply)
 
@@ -127,10 +131,12 @@
 
 
 @given(seed=st.integers(0, 2**32), policy=st.sampled_from(["adaptive", "adaptive", "plain"]))
-def test_every_caller_gets_its_own_whole_answer_in_time(seed: int, policy: str) -> None:
+def test_every_caller_gets_the_answer_to_its_own_request_within_the_deadline(
+    seed: int, policy: str
+) -> None:
     async def scenario() -> None:
         system = System(seed, policy)
-        system.sessions.on_send = system.misbehave
+        system.sessions.on_send = system.reply_with_faults
         await system.controller.start()
         rng = system.rng
 
@@ -139,7 +145,7 @@
             started, deadline_ms = system.loop.time(), rng.choice((50, 300, 1000))
             kind = rng.choice(("search", "quick_match", "fetch"))
             result = await system.execute(kind, query=f"q{number}", deadline_ms=deadline_ms)
-            assert system.loop.time() <= started + deadline_ms / 1e3 + 0.001, "too late"
+            assert system.loop.time() <= started + deadline_ms / 1e3 + 0.001, "after the deadline"
             if isinstance(result, BramleycrankError):
                 return
             assert {hit.body for hit in result.result} == {f"q{number}"}
@@ -148,7 +154,7 @@
             json.dumps(result.as_dict(), allow_nan=False)
 
         async def order(number: int) -> None:
-            """Send the same request again and again, as a caller that lost its answers."""
+            """Send the same request three times, as a caller that lost the answers."""
             first = None
             for _ in range(3):
                 await asyncio.sleep(rng.random())
@@ -210,21 +216,21 @@
 
 
 @pytest.mark.parametrize(("fields", "error", "outcome"), REFUSALS)
-def test_refusals_have_the_right_type_and_outcome(fields: dict, error: type, outcome) -> None:
+def test_refusals_have_the_expected_type_and_outcome(fields: dict, error: type, outcome) -> None:
     async def scenario(system: System) -> None:
         system.configuration.config.classes.extend(["urgent", "normal"])
         system.configuration.config.hits_limit = 50
         values = {"service": SERVICE, "kind": "search", "query": "q"} | fields
-        with pytest.raises(error) as caught:
+        with pytest.raises(error) as exc_info:
             await system.controller.execute(QueryRequest(**values))
-        assert type(caught.value) is error
-        assert caught.value.outcome is outcome
+        assert type(exc_info.value) is error
+        assert exc_info.value.outcome is outcome
         assert not system.sessions.sent
 
     run_with(scenario)
 
 
-def test_a_cancelled_read_is_cancelled_on_its_targets() -> None:
+def test_sub_requests_of_a_cancelled_read_are_cancelled() -> None:
     async def scenario(system: System) -> None:
         system.sessions.on_send = None
         task = asyncio.ensure_future(system.execute())
@@ -239,7 +245,7 @@
     run_with(scenario)
 
 
-def test_a_dispatched_order_is_completed_although_its_caller_left() -> None:
+def test_a_dispatched_order_is_completed_after_its_caller_disconnected() -> None:
     async def scenario(system: System) -> None:
         task = asyncio.ensure_future(system.order())
         while not system.sessions.sent:
@@ -252,7 +258,7 @@
     run_with(scenario)
 
 
-def test_an_order_cancelled_before_dispatch_never_runs_and_is_abandoned() -> None:
+def test_an_order_cancelled_before_dispatch_does_not_run_and_its_claim_is_abandoned() -> None:
     async def scenario(system: System) -> None:
         system.log.faults.extend(["lost"])
         task = asyncio.ensure_future(system.order())
@@ -265,7 +271,7 @@
     run_with(scenario)
 
 
-def test_a_drain_finishes_what_is_in_flight_and_refuses_the_rest() -> None:
+def test_a_drain_completes_requests_in_flight_and_refuses_new_ones() -> None:
     async def scenario(system: System) -> None:
         task = asyncio.ensure_future(system.execute())
         await asyncio.sleep(0.001)
@@ -280,8 +286,8 @@
     run_with(scenario)
 
 
-def test_a_stop_gives_what_is_left_in_flight_a_typed_error() -> None:
-    """Guards against callers that take the empty end of a cut request for an answer."""
+def test_a_stop_fails_requests_in_flight_with_a_typed_error() -> None:
+    """Guards against an interrupted request that a caller takes for one with an empty answer."""
 
     async def scenario(system: System) -> None:
         system.sessions.on_send = None
@@ -295,7 +301,7 @@
     run_with(scenario)
 
 
-def test_without_targets_the_order_is_not_run_and_its_claim_abandoned() -> None:
+def test_without_targets_an_order_is_not_run_and_its_claim_is_abandoned() -> None:
     async def scenario(system: System) -> None:
         system.targets.records = []
         read, order = await system.execute(), await system.order()
@@ -308,13 +314,13 @@
     run_with(scenario)
 
 
-def test_a_target_that_left_is_forgotten_without_another_query() -> None:
-    """Guard against hedges and retries of running queries to a leaving target."""
+def test_a_removed_target_is_dropped_without_another_request() -> None:
+    """Guards against hedges and retries of running requests to a target that left or expired."""
 
     async def scenario(system: System) -> None:
         await system.execute()
         for records in (system.targets.records[1:], system.targets.records[2:]):
-            # The second change is silent, as when the lease of a target runs out.
+            # The second change causes no event, as when the lease of a target expires.
             if len(records) == 8:
                 system.targets.replace(records)
                 await asyncio.sleep(0.1)
@@ -326,8 +332,12 @@
     run_with(scenario)
 
 
-def test_requests_that_fail_at_once_do_not_lower_the_limit_afterwards() -> None:
-    """Guards against a VM that throttles itself after an outage of its targets has ended."""
+def test_fast_failures_do_not_lower_the_concurrency_limit() -> None:
+    """Guards against a concurrency limit that stays low after an outage of the targets.
+
+    The latencies of failed requests lowered the long-term median, so that the usual latency looked
+    like an overload afterwards.
+    """
 
     async def scenario(system: System) -> None:
         limits = []
@@ -345,14 +355,14 @@
             0.0005, listener.on_failure, request.sub_id, FailureReason.NOT_SENT
         )
         await load(2.0)
-        system.sessions.on_send = system.behave
+        system.sessions.on_send = system.reply_correctly
         await load(5.0)
         assert min(limits) >= before
 
     run_with(scenario)
 
 
-def test_an_overloaded_vm_refuses_at_once_instead_of_letting_requests_wait() -> None:
+def test_an_overloaded_vm_refuses_requests_above_its_queue_limit_at_once() -> None:
     async def scenario(system: System) -> None:
         system.configuration.config.max_concurrency = 2
         system.configuration.config.queue_limit = 3
--- a/tests/test_session_controller.py
+++ b/tests/test_session_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the session layer against real grpclib servers on loopback."""
+"""Session controller against real gRPC servers on loopback."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 
 
 class FakeTarget(TargetBase):
-    """Target whose answers a test can hold back, and whose connections can go silent."""
+    """Target whose replies a test can suppress, and whose connections can become silent."""
 
     def __init__(self):
         self.silent = set()
@@ -90,7 +90,7 @@
 
 
 class Recorder:
-    """Listener that keeps what it hears."""
+    """Listener that records replies and failures."""
 
     def __init__(self):
         self.replies = {}
@@ -105,8 +105,8 @@
         self.failures[sub_id] = str(reason)
 
 
-class Counts(NullMetrics):
-    """Keeps the counters."""
+class RecordedMetrics(NullMetrics):
+    """Metrics that record the counters."""
 
     def __init__(self):
         self.total = Counter()
@@ -125,7 +125,7 @@
 
 
 def run(scenario, **options):
-    """Run a scenario with a target and a session controller that is past its joining time."""
+    """Run a scenario with one target and a session controller that is connected to it."""
 
     async def main():
         target = FakeTarget()
@@ -137,14 +137,14 @@
         )
         membership = FakeMembership(record)
         cfg = ConnectionConfig(join_s=0.0, **options)
-        counts = Counts()
-        sessions = SessionController("vm-0", cfg, membership, metrics=counts)
+        metrics = RecordedMetrics()
+        sessions = SessionController("vm-0", cfg, membership, metrics=metrics)
         await sessions.start()
         await until(lambda: sessions.is_connected("t"))
         env = SimpleNamespace(
             target=target, membership=membership, sessions=sessions, log=Recorder(), down=[]
         )
-        env.counts = counts
+        env.metrics = metrics
         sessions.subscribe_down(lambda target_id, down: env.down.append(down))
         env.send = lambda **fields: send(env, **fields)
         try:
@@ -165,7 +165,7 @@
     return sub_id
 
 
-def announce(env, usable, incarnation):
+def replace_record(env, usable, incarnation):
     """Replace the record of the target."""
     record = pb.TargetRecord()
     record.CopyFrom(env.membership.record)
@@ -174,8 +174,8 @@
     env.membership.callback(record)
 
 
-def test_requests_of_one_turn_share_a_message_and_replies_may_come_in_any_order():
-    """Guards against a message per request, and replies that reach the wrong request."""
+def test_sub_requests_of_one_loop_iteration_share_a_message_and_replies_arrive_in_any_order():
+    """Guards against one message per sub-request, and replies matched to the wrong one."""
 
     async def scenario(env):
         env.target.answer = lambda request: False
@@ -191,8 +191,8 @@
     run(scenario)
 
 
-def test_cancelled_request_is_dropped_or_told_to_the_target():
-    """Guards against replies to a request that was given up, and against useless work."""
+def test_cancelled_sub_request_is_not_sent_or_is_cancelled_on_the_target():
+    """Guards against replies to a cancelled sub-request, and against useless work of the target."""
 
     async def scenario(env):
         env.target.answer = lambda request: False
@@ -214,7 +214,7 @@
 
 
 def test_silent_connection_is_replaced_and_the_target_stays_up():
-    """Guards against treating a connection that went silent for good as a dead target."""
+    """Guards against marking a target as down when only one of its connections is silent."""
 
     async def scenario(env):
         env.target.silent.add(env.target.streams[0])
@@ -226,15 +226,17 @@
         env.send()
         await until(lambda: env.log.replies)
         assert env.down == [] and env.target.peak == 2
-        assert env.counts.total == {"connections.opened": 2, "connections.silent": 1}
+        assert env.metrics.total == {"connections.opened": 2, "connections.silent": 1}
         await until(lambda: env.target.open == 1)
-        assert not set(lost) & set(env.target.received), "nothing is sent twice by itself"
+        assert not set(lost) & set(env.target.received), (
+            "a lost sub-request is not resent automatically"
+        )
 
     run(scenario)
 
 
-def test_slow_target_keeps_its_connection():
-    """Guards against closing a connection whose target answers pings but not requests."""
+def test_connection_of_a_slow_target_stays_open():
+    """Guards against closing a connection whose target replies to pings but not to sub-requests."""
 
     async def scenario(env):
         env.target.answer = lambda request: False
@@ -249,15 +251,15 @@
     run(scenario)
 
 
-def test_frozen_target_is_down_until_it_answers_again():
-    """Guards against hanging reads, a lost reply of a write, and reconnects without end."""
+def test_frozen_target_is_down_until_it_replies_again():
+    """Guards against hanging reads, a lost reply to a write, and endless reconnects."""
 
     async def scenario(env):
         env.target.frozen.clear()
         read, write = env.send(), env.send(request_key="k")
         await until(lambda: env.down == [True])
         assert env.log.failures == {read: "target_down"}
-        assert env.counts.total == {"connections.opened": 1, "connections.target_down": 1}
+        assert env.metrics.total == {"connections.opened": 1, "connections.target_down": 1}
         late = env.send()
         assert env.log.failures[late] == "not_sent"
         env.target.frozen.set()
@@ -270,8 +272,8 @@
     run(scenario)
 
 
-def test_abrupt_close_delivers_what_arrived_and_reconnects():
-    """Guards against replies that are dropped since the connection ended right behind them."""
+def test_replies_before_an_abrupt_close_are_delivered_and_the_target_is_reconnected():
+    """Guards against dropping replies because the connection closed directly after them."""
 
     async def scenario(env):
         env.target.answer = lambda request: False
@@ -293,7 +295,7 @@
 
 
 def test_replies_before_a_reset_are_delivered():
-    """Guards against replies lost in grpclib's buffer, when a reset arrives in the same packet."""
+    """Guards against replies lost in the buffer of grpclib if a reset is in the same packet."""
 
     async def scenario(env):
         ids = [env.send(key="last") for _ in range(20)]
@@ -303,8 +305,8 @@
     run(scenario)
 
 
-def test_leaving_target_gets_no_new_work_but_finishes_what_it_has():
-    """Guards against new work for a leaving target, and against cutting its work in flight."""
+def test_leaving_target_gets_no_new_sub_requests_but_completes_those_in_flight():
+    """Guards against new sub-requests to a leaving target, and against aborting those in flight."""
 
     async def scenario(env):
         env.target.answer = lambda request: False
@@ -325,21 +327,21 @@
     run(scenario)
 
 
-def test_reads_on_a_silent_connection_of_a_leaving_target_run_elsewhere():
-    """Guards against reads that wait for their deadline since nobody watches the connection."""
+def test_reads_on_a_silent_connection_of_a_leaving_target_fail_early():
+    """Guards against reads that wait until their deadline because no monitor watches the link."""
 
     async def scenario(env):
         env.target.silent.add(env.target.streams[0])
         read, write = env.send(), env.send(request_key="k")
         await asyncio.sleep(0.05)
-        announce(env, False, 7)
+        replace_record(env, False, 7)
         took_s = await until(lambda: env.log.failures)
         assert took_s < 1.0
         assert env.log.failures == {read: "target_down"}
         assert (
             env.target.peak == 1
             and env.down == []
-            and not env.counts.total - Counter({"connections.opened": 1})
+            and not env.metrics.total - Counter({"connections.opened": 1})
         )
         reply = pb.SubReply(sub_id=write)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
@@ -350,30 +352,30 @@
 
 
 def test_target_that_was_down_is_up_again_after_a_restart():
-    """Guards against a target that stays down for good, since only its old session could say up."""
+    """Guards against a target that stays down because the session that marked it was replaced."""
 
     async def scenario(env):
         env.target.frozen.clear()
         env.send()
         await until(lambda: env.down == [True])
-        announce(env, False, 7)
+        replace_record(env, False, 7)
         env.target.frozen.set()
-        announce(env, True, 8)
+        replace_record(env, True, 8)
         await until(lambda: env.sessions.is_connected("t"))
         assert env.down == [True, False]
 
     run(scenario)
 
 
-def test_target_that_is_usable_again_keeps_its_connection():
-    """Guards against connections above the limit while work of the earlier time is in flight."""
+def test_target_that_is_usable_again_reuses_its_connection():
+    """Guards against exceeding the connection limit while earlier sub-requests are in flight."""
 
     async def scenario(env):
         env.target.answer = lambda request: not request.key
         slow = env.send(key="slow")
         await until(lambda: env.target.received == [slow])
-        announce(env, False, 7)
-        announce(env, True, 7)
+        replace_record(env, False, 7)
+        replace_record(env, True, 7)
         quick = env.send()
         await until(lambda: quick in env.log.replies)
         assert env.target.peak == 1 and not env.log.failures
@@ -384,21 +386,21 @@
     run(scenario)
 
 
-def test_session_that_is_closed_before_it_connects_leaves_nothing_behind():
-    """Guards against a retired link that is kept for good."""
+def test_session_that_is_closed_before_it_connects_is_removed():
+    """Guards against a retired link that is never removed."""
 
     async def scenario(env):
-        announce(env, False, 7)
-        announce(env, True, 8)
-        announce(env, False, 8)
+        replace_record(env, False, 7)
+        replace_record(env, True, 8)
+        replace_record(env, False, 8)
         await until(lambda: not env.sessions.dump()["retiring"])
         await until(lambda: env.target.open == 0)
 
     run(scenario)
 
 
-def test_target_at_its_connection_limit_gets_its_silent_connection_replaced():
-    """Guards against a silent connection that stays, since it uses the target's last place."""
+def test_silent_connection_of_a_target_at_its_connection_limit_is_replaced():
+    """Guards against a silent connection that stays open because it uses up the limit."""
 
     async def scenario(env):
         env.target.limit = 1
@@ -416,7 +418,7 @@
 
 
 def test_flow_control_does_not_block_pings_and_replies():
-    """Guards against a large message that waits for the target's window and blocks everything."""
+    """Guards against a large message that waits for flow control and blocks the connection."""
 
     async def scenario(env):
         env.target.frozen.clear()
@@ -429,14 +431,14 @@
     run(scenario, silence_min_s=5.0, silence_max_s=5.0)
 
 
-def test_targets_that_are_down_take_turns_at_the_reconnect_budget(monkeypatch):
-    """Guards against targets that are never tried again while many others are down."""
-    tries = Counter()
+def test_targets_that_are_down_share_the_reconnect_budget(monkeypatch):
+    """Guards against targets that are never reconnected while many others are down."""
+    attempts = Counter()
     monkeypatch.setattr(
         TargetLink,
         "_open",
         lambda link: (
-            tries.update([link.target_id]),
+            attempts.update([link.target_id]),
             link._execute(link.monitor.on_open_failed(time.monotonic())),
         ),
     )
@@ -451,7 +453,7 @@
         await sessions.start()
         for record in records[1:]:
             membership.callback(record)
-        await until(lambda: min(tries[record.target_id] for record in records) > 2, 8.0)
+        await until(lambda: min(attempts[record.target_id] for record in records) > 2, 8.0)
         await sessions.stop()
 
     asyncio.run(scenario())
