--- a/bramleycrank/daemon/node.py
+++ b/bramleycrank/daemon/node.py
@@ -172,7 +172,7 @@
             await _wait_for_deferred(port.stopListening())
 
     async def finish_requests(self, limit_s: float) -> None:
-        """Wait until no request or change is in flight and all answers are sent, within limits."""
+        """Wait until requests and changes have ended and answers are sent; each wait is limited."""
         if not await self._parts.query.drain(limit_s):
             log.warning("life cycle: requests are still in flight after %s s", limit_s)
         loop = asyncio.get_running_loop()
--- a/bramleycrank/daemon/raft_runner.py
+++ b/bramleycrank/daemon/raft_runner.py
@@ -205,13 +205,13 @@
         future = futures.get(key)
         if future is None or future.done():
             future = futures[key] = self._loop.create_future()
-            future.add_done_callback(lambda done: self._forget(futures, key, done))
+            future.add_done_callback(lambda done: self._remove_future(futures, key, done))
         if self._closed or self.failure:
             _fail(future, NoQuorum("the consensus core is stopped", outcome=Outcome.NOT_RUN))
         return future
 
     @staticmethod
-    def _forget(futures: dict[str, asyncio.Future], key: str, done: asyncio.Future) -> None:
+    def _remove_future(futures: dict[str, asyncio.Future], key: str, done: asyncio.Future) -> None:
         if futures.get(key) is done:
             del futures[key]
         if not done.cancelled():
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -19,7 +19,7 @@
 from bramleycrank.state import ReplicatedState
 
 
-class World:
+class FakeVoter:
     """A voter with a real `ReplicatedState`; fakes the consensus, peers, clients and cache."""
 
     def __init__(self, peers=20, cached=None):
@@ -110,14 +110,14 @@
         self.apply(log_pb2.Command(change=log_pb2.Change(change_id=name, put_service=service)))
 
 
-def run(scenario, **world_args):
+def run(scenario, **voter_args):
     async def body():
-        world = World(**world_args)
-        await world.controller.start()
+        voter = FakeVoter(**voter_args)
+        await voter.controller.start()
         try:
-            await scenario(world, world.controller)
+            await scenario(voter, voter.controller)
         finally:
-            await world.controller.stop()
+            await voter.controller.stop()
 
     asyncio.run(body())
 
@@ -125,12 +125,12 @@
 def test_leader_pushes_a_confirmed_revision_at_once_to_a_few_vms():
     # Without the push, a change spreads by gossip only, which is too slow to reach every VM within
     # 2 s in 99 of 100 cases.
-    async def scenario(world, controller):
-        world.confirmed = True
-        world.put_service("a")
+    async def scenario(voter, controller):
+        voter.confirmed = True
+        voter.put_service("a")
         await asyncio.sleep(0.01)
-        assert len(world.pushed) == PUSH_FANOUT
-        assert all(revisions == [1] for revisions in world.pushed.values())
+        assert len(voter.pushed) == PUSH_FANOUT
+        assert all(revisions == [1] for revisions in voter.pushed.values())
 
     run(scenario)
 
@@ -138,46 +138,46 @@
 def test_a_fetched_revision_is_pushed_at_once_and_only_once():
     # Without the relay, the time to reach all VMs is the probe period times the logarithm of their
     # number.
-    async def scenario(world, controller):
-        world.state = None  # a VM without a copy of the log
+    async def scenario(voter, controller):
+        voter.state = None  # a VM without a copy of the log
         change = log_pb2.Change(change_id="a", put_service=log_pb2.ServiceConfig(name="a"))
         status = peer_pb2.ConfigStatus(revision=1, leader_revision=1, confirmed=True)
         delta = log_pb2.ConfigDelta(revision=1, change=change)
-        world.fetch_reply = peer_pb2.FetchConfigReply(deltas=[delta], status=status)
-        for address in world.addresses()[:2]:
+        voter.fetch_reply = peer_pb2.FetchConfigReply(deltas=[delta], status=status)
+        for address in voter.addresses()[:2]:
             controller.on_gossip(address, status)
         await asyncio.sleep(0.05)
         assert controller.revision == 1
-        assert sum(map(len, world.pushed.values())) == RELAY_FANOUT
-        assert all(revisions == [1] for revisions in world.pushed.values())
+        assert sum(map(len, voter.pushed.values())) == RELAY_FANOUT
+        assert all(revisions == [1] for revisions in voter.pushed.values())
 
     run(scenario)
 
 
 def test_nothing_is_pushed_without_confirmation_or_for_a_claim():
-    async def scenario(world, controller):
-        world.put_service("a")
+    async def scenario(voter, controller):
+        voter.put_service("a")
         await asyncio.sleep(0.01)
-        assert world.pushed == {}
-        world.confirmed = True
-        world.put_service("b")
+        assert voter.pushed == {}
+        voter.confirmed = True
+        voter.put_service("b")
         await asyncio.sleep(0.01)
-        before = {address: list(revisions) for address, revisions in world.pushed.items()}
+        before = {address: list(revisions) for address, revisions in voter.pushed.items()}
         claim = log_pb2.ClaimOpen(id=log_pb2.ClaimId(service="a", request_key="k"), attempt_id="x")
-        world.apply(log_pb2.Command(claim_open=claim))
+        voter.apply(log_pb2.Command(claim_open=claim))
         await asyncio.sleep(0.01)
-        assert world.pushed == before
+        assert voter.pushed == before
 
     run(scenario)
 
 
 def test_lookup_errors_distinguish_unknown_service_from_missing_configuration():
-    async def scenario(world, controller):
+    async def scenario(voter, controller):
         with pytest.raises(ConfigurationUnavailable):
             controller.service("a")
         assert controller.stale_ms() > 0
-        world.confirmed = True
-        world.put_service("a")
+        voter.confirmed = True
+        voter.put_service("a")
         await asyncio.wait_for(controller.wait_in_force(), 1.0)
         assert controller.service("a").version == 1 and controller.stale_ms() == 0
         with pytest.raises(UnknownService):
@@ -189,12 +189,12 @@
 def test_cached_configuration_is_not_used_before_it_is_in_force():
     # Otherwise a VM that was down for a long time would serve by the outdated file, although it
     # receives messages of the leader.
-    async def scenario(world, controller):
+    async def scenario(voter, controller):
         with pytest.raises(ConfigurationUnavailable):
             controller.service("a")
-        world.confirmed = True
+        voter.confirmed = True
         for name in "ab":
-            world.put_service(name)
+            voter.put_service(name)
         assert controller.revision == 2
         assert [controller.service(name).version for name in "ab"] == [1, 2]
 
@@ -204,16 +204,16 @@
 
 def test_failing_subscriber_does_not_stop_other_subscribers_or_ticks():
     # The exception reached the Raft runner, which then stopped for good, or ended the ticks.
-    async def scenario(world, controller):
+    async def scenario(voter, controller):
         def fail():
             raise ValueError("subscriber")
 
         notified = []
         controller.subscribe(fail)
         controller.subscribe(lambda: notified.append(controller.revision))
-        world.confirmed = True
-        world.put_service("a")
-        assert notified == world.saved == [1]
+        voter.confirmed = True
+        voter.put_service("a")
+        assert notified == voter.saved == [1]
         await asyncio.wait_for(controller.wait_in_force(), 1.0)
 
     run(scenario)
@@ -222,7 +222,7 @@
 def test_ticks_continue_after_a_failed_tick(monkeypatch):
     # Without ticks, a VM that receives no gossip never fetches from the leader, and its
     # configuration becomes ever older.
-    async def scenario(world, controller):
+    async def scenario(voter, controller):
         ticks = []
 
         def tick(now):
@@ -238,33 +238,33 @@
 
 
 def test_every_revision_in_force_is_saved_and_passed_to_subscribers():
-    async def scenario(world, controller):
+    async def scenario(voter, controller):
         notified = []
         controller.subscribe(lambda: notified.append(controller.revision))
-        world.confirmed = True
+        voter.confirmed = True
         for name in "abc":
-            world.put_service(name)
-        assert world.saved == notified == [1, 2, 3]
+            voter.put_service(name)
+        assert voter.saved == notified == [1, 2, 3]
 
     run(scenario)
 
 
 def test_revision_is_in_force_although_the_disk_is_full():
-    async def scenario(world, controller):
-        world.disk_fails = world.confirmed = True
-        world.put_service("a")
+    async def scenario(voter, controller):
+        voter.disk_fails = voter.confirmed = True
+        voter.put_service("a")
         assert controller.revision == 1 and "no space left" in controller.dump()["cache_error"]
 
     run(scenario)
 
 
 def test_confirmed_fetch_is_refused_by_a_vm_that_is_not_the_leader():
-    async def scenario(world, controller):
-        world.put_service("a")
+    async def scenario(voter, controller):
+        voter.put_service("a")
         request = peer_pb2.FetchConfigRequest(leader_confirmed=True)
         with pytest.raises(NotLeader):
             await controller.on_fetch(request)
-        world.confirmed = True
+        voter.confirmed = True
         reply = await controller.on_fetch(request)
         assert reply.status.confirmed and [d.revision for d in reply.deltas] == [1]
 
--- a/tests/test_daemon_raft_runner.py
+++ b/tests/test_daemon_raft_runner.py
@@ -16,7 +16,7 @@
 PERSIST = types.Persist(entries=(log_pb2.Entry(index=1),))
 
 
-class World:
+class RunnerFixture:
     """A runner with a fake Raft node that returns `actions`; `trace` lists executed actions."""
 
     def __init__(self):
@@ -57,7 +57,7 @@
 
 def run(scenario):
     async def body():
-        await scenario(World())
+        await scenario(RunnerFixture())
 
     asyncio.run(body())
 
@@ -68,41 +68,41 @@
 
 
 def test_proposals_of_one_loop_iteration_share_one_sync_before_messages_are_sent():
-    async def scenario(world):
-        futures = [world.runner.propose(name, log_pb2.Command()) for name in "abc"]
+    async def scenario(fixture):
+        futures = [fixture.runner.propose(name, log_pb2.Command()) for name in "abc"]
         await run_iterations()
-        assert world.batches == [["a", "b", "c"]]
-        assert world.trace == ["persist", "send"]
+        assert fixture.batches == [["a", "b", "c"]]
+        assert fixture.trace == ["persist", "send"]
         assert not any(future.done() for future in futures)
 
     run(scenario)
 
 
 def test_resent_proposal_shares_the_future_of_the_first():
-    async def scenario(world):
-        first = world.runner.propose("a", log_pb2.Command())
-        assert world.runner.propose("a", log_pb2.Command()) is first
+    async def scenario(fixture):
+        first = fixture.runner.propose("a", log_pb2.Command())
+        assert fixture.runner.propose("a", log_pb2.Command()) is first
         await run_iterations()
-        assert world.batches == [["a"]]
+        assert fixture.batches == [["a"]]
 
     run(scenario)
 
 
 def test_disk_failure_stops_the_node_before_it_sends_a_message():
     # A vote or an acknowledgement that is sent before it is durable can lose a committed entry.
-    async def scenario(world):
-        world.disk_fails = True
-        waiting = world.runner.propose("a", log_pb2.Command())
+    async def scenario(fixture):
+        fixture.disk_fails = True
+        waiting = fixture.runner.propose("a", log_pb2.Command())
         await run_iterations()
-        assert world.trace == []
+        assert fixture.trace == []
         with pytest.raises(ProposalOutcomeUnknown, match="no space left"):
             await waiting
-        world.disk_fails = False
-        world.runner.receive(log_pb2.ConsensusMessage())
+        fixture.disk_fails = False
+        fixture.runner.receive(log_pb2.ConsensusMessage())
         with pytest.raises(NoQuorum):
-            await world.runner.propose("b", log_pb2.Command())
+            await fixture.runner.propose("b", log_pb2.Command())
         await run_iterations()
-        assert world.trace == [] and "no space left" in world.runner.dump()["failure"]
+        assert fixture.trace == [] and "no space left" in fixture.runner.dump()["failure"]
 
     run(scenario)
 
@@ -110,21 +110,21 @@
 def test_bootstrap_that_is_not_durable_is_not_acknowledged():
     # Otherwise the operator counts the VM as a voter, which does not know the cluster after a
     # restart.
-    async def scenario(world):
-        world.disk_fails = True
-        world.node.bootstrap = lambda membership, now: [PERSIST]
+    async def scenario(fixture):
+        fixture.disk_fails = True
+        fixture.node.bootstrap = lambda membership, now: [PERSIST]
         for _ in range(2):
             with pytest.raises(StorageError, match="no space left"):
-                world.runner.bootstrap(log_pb2.Membership())
+                fixture.runner.bootstrap(log_pb2.Membership())
 
     run(scenario)
 
 
 def test_each_outcome_resolves_the_proposal_with_its_id():
-    async def scenario(world):
-        futures = {name: world.runner.propose(name, log_pb2.Command()) for name in "abc"}
+    async def scenario(fixture):
+        futures = {name: fixture.runner.propose(name, log_pb2.Command()) for name in "abc"}
         entry = log_pb2.Entry(index=1, proposal_id="a", command=b"")
-        world.actions = [
+        fixture.actions = [
             types.Apply((entry,)),
             types.ProposalRejected("b", NoQuorum()),
             types.ProposalUnresolved("c"),
@@ -140,24 +140,24 @@
 
 
 def test_log_is_compacted_every_thousand_entries():
-    async def scenario(world):
+    async def scenario(fixture):
         entries = [log_pb2.Entry(index=n + 1) for n in range(COMPACT_ENTRIES)]
-        world.actions = [types.Apply(tuple(entries[:-1]))]
-        world.runner.receive(log_pb2.ConsensusMessage())
+        fixture.actions = [types.Apply(tuple(entries[:-1]))]
+        fixture.runner.receive(log_pb2.ConsensusMessage())
         await run_iterations()
-        assert world.compacted == []
-        world.actions = [types.Apply(tuple(entries[-1:]))]
-        world.runner.receive(log_pb2.ConsensusMessage())
+        assert fixture.compacted == []
+        fixture.actions = [types.Apply(tuple(entries[-1:]))]
+        fixture.runner.receive(log_pb2.ConsensusMessage())
         await run_iterations()
-        assert world.compacted == [COMPACT_ENTRIES]
+        assert fixture.compacted == [COMPACT_ENTRIES]
 
     run(scenario)
 
 
 def test_closing_fails_pending_proposals_with_outcome_unknown():
-    async def scenario(world):
-        waiting = world.runner.propose("a", log_pb2.Command())
-        world.runner.close()
+    async def scenario(fixture):
+        waiting = fixture.runner.propose("a", log_pb2.Command())
+        fixture.runner.close()
         with pytest.raises(ProposalOutcomeUnknown):
             await waiting
 
--- a/tests/test_membership_controller.py
+++ b/tests/test_membership_controller.py
@@ -132,7 +132,7 @@
 def test_calls_that_fail_with_an_untyped_error_are_retried():
     """Guards against syncs and pushes of a leaving target that are never retried.
 
-    The core waits for the reply of each call, so it must be told of an untyped failure too.
+    The core waits for the reply of each call, so untyped failures must be reported to it too.
     """
 
     class Clients:
--- a/tests/test_query_controller.py
+++ b/tests/test_query_controller.py
@@ -126,7 +126,7 @@
         except BramleycrankError as exc:
             return exc
 
-    def order(self, key: str = "r1", **fields):
+    def execute_order(self, key: str = "r1", **fields):
         return self.execute("work_order", request_key=key, issued_at_ms=1_000_000, **fields)
 
 
@@ -140,7 +140,7 @@
         await system.controller.start()
         rng = system.rng
 
-        async def one(number: int) -> None:
+        async def send_read(number: int) -> None:
             await asyncio.sleep(rng.random())
             started, deadline_ms = system.loop.time(), rng.choice((50, 300, 1000))
             kind = rng.choice(("search", "quick_match", "fetch"))
@@ -153,13 +153,15 @@
             assert result.coverage.total == (1 if kind == "fetch" else 3)
             json.dumps(result.as_dict(), allow_nan=False)
 
-        async def order(number: int) -> None:
+        async def resend_order(number: int) -> None:
             """Send the same request three times, as a caller that lost the answers."""
             first = None
             for _ in range(3):
                 await asyncio.sleep(rng.random())
                 before = system.runs.get(f"r{number}", 0)
-                result = await system.order(f"r{number}", deadline_ms=rng.choice((100, 1000)))
+                result = await system.execute_order(
+                    f"r{number}", deadline_ms=rng.choice((100, 1000))
+                )
                 if isinstance(result, BramleycrankError):
                     if result.outcome is Outcome.NOT_RUN:
                         assert system.runs.get(f"r{number}", 0) == before == 0
@@ -167,7 +169,7 @@
                     first = first or result
                     assert result == first
 
-        work = [one(n) for n in range(60)] + [order(n) for n in range(10)]
+        work = [send_read(n) for n in range(60)] + [resend_order(n) for n in range(10)]
         tasks = [asyncio.ensure_future(coro) for coro in work]
         for task in rng.sample(tasks, 8):
             system.loop.call_later(rng.random(), task.cancel)
@@ -247,7 +249,7 @@
 
 def test_a_dispatched_order_is_completed_after_its_caller_disconnected() -> None:
     async def scenario(system: System) -> None:
-        task = asyncio.ensure_future(system.order())
+        task = asyncio.ensure_future(system.execute_order())
         while not system.sessions.sent:
             await asyncio.sleep(0.001)
         task.cancel()
@@ -261,7 +263,7 @@
 def test_an_order_cancelled_before_dispatch_does_not_run_and_its_claim_is_abandoned() -> None:
     async def scenario(system: System) -> None:
         system.log.faults.extend(["lost"])
-        task = asyncio.ensure_future(system.order())
+        task = asyncio.ensure_future(system.execute_order())
         await asyncio.sleep(0.01)
         task.cancel()
         assert await system.controller.drain(5.0)
@@ -277,7 +279,7 @@
         await asyncio.sleep(0.001)
         drain = asyncio.ensure_future(system.controller.drain(5.0))
         await asyncio.sleep(0.001)
-        refused, order = await system.execute(), await system.order()
+        refused, order = await system.execute(), await system.execute_order()
         assert (type(refused), refused.outcome) == (Draining, Outcome.NOT_RUN)
         assert (type(order), order.outcome) == (Draining, Outcome.UNKNOWN)
         assert await drain
@@ -291,7 +293,7 @@
 
     async def scenario(system: System) -> None:
         system.sessions.on_send = None
-        tasks = [asyncio.ensure_future(run()) for run in (system.execute, system.order)]
+        tasks = [asyncio.ensure_future(run()) for run in (system.execute, system.execute_order)]
         await asyncio.sleep(0.1)
         assert not await system.controller.drain(0.1)
         await system.controller.stop()
@@ -304,7 +306,7 @@
 def test_without_targets_an_order_is_not_run_and_its_claim_is_abandoned() -> None:
     async def scenario(system: System) -> None:
         system.targets.records = []
-        read, order = await system.execute(), await system.order()
+        read, order = await system.execute(), await system.execute_order()
         assert (type(read), read.outcome) == (NoTargets, Outcome.NOT_RUN)
         assert read.retry_after_ms > 0
         assert (type(order), order.outcome) == (NoTargets, Outcome.NOT_RUN)
--- a/tests/test_session_controller.py
+++ b/tests/test_session_controller.py
@@ -142,7 +142,7 @@
         await sessions.start()
         await until(lambda: sessions.is_connected("t"))
         env = SimpleNamespace(
-            target=target, membership=membership, sessions=sessions, log=Recorder(), down=[]
+            target=target, membership=membership, sessions=sessions, listener=Recorder(), down=[]
         )
         env.metrics = metrics
         sessions.subscribe_down(lambda target_id, down: env.down.append(down))
@@ -161,7 +161,7 @@
 def send(env, **fields):
     sub_id = env.sessions.next_sub_id()
     request = pb.SubRequest(sub_id=sub_id, timeout_ms=3000, service="s", **fields)
-    env.sessions.send("t", request, env.log)
+    env.sessions.send("t", request, env.listener)
     return sub_id
 
 
@@ -185,8 +185,8 @@
         for sub_id in reversed(ids):
             reply = pb.SubReply(sub_id=sub_id, payload=str(sub_id).encode())
             await env.target.streams[0].send_message(pb.SessionReply(replies=[reply, reply]))
-        await until(lambda: len(env.log.replies) == 50)
-        assert all(r.payload == str(i).encode() for i, r in env.log.replies.items())
+        await until(lambda: len(env.listener.replies) == 50)
+        assert all(r.payload == str(i).encode() for i, r in env.listener.replies.items())
 
     run(scenario)
 
@@ -207,8 +207,8 @@
         )
         env.target.answer = lambda request: True
         last = env.send()
-        await until(lambda: env.log.replies)
-        assert set(env.log.replies) == {last} and not env.log.failures
+        await until(lambda: env.listener.replies)
+        assert set(env.listener.replies) == {last} and not env.listener.failures
 
     run(scenario)
 
@@ -219,12 +219,12 @@
     async def scenario(env):
         env.target.silent.add(env.target.streams[0])
         lost = [env.send(), env.send(request_key="k")]
-        took_s = await until(lambda: len(env.log.failures) == 2)
+        took_s = await until(lambda: len(env.listener.failures) == 2)
         assert took_s < 1.0
-        assert set(env.log.failures) == set(lost)
-        assert set(env.log.failures.values()) == {"connection_lost"}
+        assert set(env.listener.failures) == set(lost)
+        assert set(env.listener.failures.values()) == {"connection_lost"}
         env.send()
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
         assert env.down == [] and env.target.peak == 2
         assert env.metrics.total == {"connections.opened": 2, "connections.silent": 1}
         await until(lambda: env.target.open == 1)
@@ -242,11 +242,11 @@
         env.target.answer = lambda request: False
         sub_id = env.send()
         await asyncio.sleep(1.0)
-        assert env.target.peak == 1 and not env.log.failures and env.down == []
+        assert env.target.peak == 1 and not env.listener.failures and env.down == []
         await env.target.streams[0].send_message(
             pb.SessionReply(replies=[pb.SubReply(sub_id=sub_id)])
         )
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
 
     run(scenario)
 
@@ -258,15 +258,15 @@
         env.target.frozen.clear()
         read, write = env.send(), env.send(request_key="k")
         await until(lambda: env.down == [True])
-        assert env.log.failures == {read: "target_down"}
+        assert env.listener.failures == {read: "target_down"}
         assert env.metrics.total == {"connections.opened": 1, "connections.target_down": 1}
         late = env.send()
-        assert env.log.failures[late] == "not_sent"
+        assert env.listener.failures[late] == "not_sent"
         env.target.frozen.set()
         await until(lambda: env.down == [True, False])
-        await until(lambda: write in env.log.replies)
+        await until(lambda: write in env.listener.replies)
         env.send()
-        await until(lambda: len(env.log.replies) == 2)
+        await until(lambda: len(env.listener.replies) == 2)
         await until(lambda: env.target.open == 1)
 
     run(scenario)
@@ -283,12 +283,12 @@
         replies = [pb.SubReply(sub_id=answered, payload=b"x" * 3000)]
         await stream.send_message(pb.SessionReply(replies=replies))
         stream._stream.connection._transport.close()
-        await until(lambda: env.log.failures)
-        assert set(env.log.replies) == {answered}
-        assert env.log.failures == {lost: "connection_lost"}
+        await until(lambda: env.listener.failures)
+        assert set(env.listener.replies) == {answered}
+        assert env.listener.failures == {lost: "connection_lost"}
         env.target.answer = lambda request: True
         held = env.send()
-        await until(lambda: held in env.log.replies)
+        await until(lambda: held in env.listener.replies)
         assert env.down == []
 
     run(scenario)
@@ -299,8 +299,8 @@
 
     async def scenario(env):
         ids = [env.send(key="last") for _ in range(20)]
-        await until(lambda: len(env.log.replies) + len(env.log.failures) == 20)
-        assert set(env.log.replies) == set(ids)
+        await until(lambda: len(env.listener.replies) + len(env.listener.failures) == 20)
+        assert set(env.listener.replies) == set(ids)
 
     run(scenario)
 
@@ -316,13 +316,13 @@
         env.membership.usable = False
         env.membership.callback(env.membership.record)
         refused = env.send()
-        assert env.log.failures == {unwritten: "not_sent", refused: "not_sent"}
+        assert env.listener.failures == {unwritten: "not_sent", refused: "not_sent"}
         await asyncio.sleep(0.1)
         assert env.target.open == 1 and env.target.received == [sub_id]
         reply = pb.SubReply(sub_id=sub_id, status=pb.SUB_STATUS_LEAVING)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
         await until(lambda: env.target.open == 0)
-        assert sub_id in env.log.replies and env.membership.left == [("t", 7)]
+        assert sub_id in env.listener.replies and env.membership.left == [("t", 7)]
 
     run(scenario)
 
@@ -335,9 +335,9 @@
         read, write = env.send(), env.send(request_key="k")
         await asyncio.sleep(0.05)
         replace_record(env, False, 7)
-        took_s = await until(lambda: env.log.failures)
+        took_s = await until(lambda: env.listener.failures)
         assert took_s < 1.0
-        assert env.log.failures == {read: "target_down"}
+        assert env.listener.failures == {read: "target_down"}
         assert (
             env.target.peak == 1
             and env.down == []
@@ -346,7 +346,7 @@
         reply = pb.SubReply(sub_id=write)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
         await until(lambda: env.target.open == 0)
-        assert write in env.log.replies
+        assert write in env.listener.replies
 
     run(scenario)
 
@@ -377,11 +377,11 @@
         replace_record(env, False, 7)
         replace_record(env, True, 7)
         quick = env.send()
-        await until(lambda: quick in env.log.replies)
-        assert env.target.peak == 1 and not env.log.failures
+        await until(lambda: quick in env.listener.replies)
+        assert env.target.peak == 1 and not env.listener.failures
         reply = pb.SubReply(sub_id=slow)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
-        await until(lambda: slow in env.log.replies)
+        await until(lambda: slow in env.listener.replies)
 
     run(scenario)
 
@@ -406,12 +406,12 @@
         env.target.limit = 1
         env.target.silent.add(env.target.streams[0])
         env.send()
-        await until(lambda: env.log.failures)
+        await until(lambda: env.listener.failures)
         env.send()
-        await until(lambda: env.log.replies or len(env.log.failures) > 1)
+        await until(lambda: env.listener.replies or len(env.listener.failures) > 1)
         await until(lambda: env.sessions.is_connected("t"))
         env.send()
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
         assert env.target.peak == 1
 
     run(scenario)
@@ -425,8 +425,8 @@
         ids = [env.send(payload=b"x" * 60_000, request_key="k") for _ in range(200)]
         await asyncio.sleep(0.2)
         env.target.frozen.set()
-        await until(lambda: len(env.log.replies) == len(ids), limit_s=8.0)
-        assert not env.log.failures
+        await until(lambda: len(env.listener.replies) == len(ids), limit_s=8.0)
+        assert not env.listener.failures
 
     run(scenario, silence_min_s=5.0, silence_max_s=5.0)
 
