--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -74,7 +74,7 @@
     def spread_sample(self, count):
         return self._peers[:count]
 
-    near_sample = spread_sample
+    own_domain_sample = spread_sample
 
     def is_far(self, address):
         return False
