--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -47,7 +47,7 @@
 """Longest wait of a starting VM that has its routes for their targets, in seconds."""
 
 
-class Handler:
+class FunctionHandler:
     """Passes requests to a function that responds to them."""
 
     def __init__(self, answer: Callable[[Exchange], None]) -> None:
@@ -206,8 +206,8 @@
         loop = asyncio.get_running_loop()
         self._far_contact = FarContact(cfg.base.vm.domain, parts.membership, loop.time)
         parts.membership.subscribe_config_status(self._far_contact.on_gossip)
-        await self._listen(cfg.metrics, Handler(self._on_metrics))
-        await self._listen(cfg.readiness, Handler(self._on_readiness))
+        await self._listen(cfg.metrics, FunctionHandler(self._on_metrics))
+        await self._listen(cfg.readiness, FunctionHandler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
         self._voter_keeper = VoterKeeper(
@@ -221,7 +221,7 @@
             await self._start_entry(parts, rng, cfg.entry)
         if cfg.control is not None:
             self._control = ControlService(parts.config, parts.consensus, parts.membership)
-            handler = Handler(self._on_control)
+            handler = FunctionHandler(self._on_control)
             await self._listen(cfg.control, handler, CONTROL_LIMITS)
         self._in_gossip = True
         self._spawn(self._log_traffic(parts.clients.traffic))
@@ -256,7 +256,7 @@
         return IntakeBudget.from_memory(self._cfg.memory_bytes)
 
     async def _listen(
-        self, address: Address | None, handler: Handler, limits: Limits | None = None
+        self, address: Address | None, handler: FunctionHandler, limits: Limits | None = None
     ) -> None:
         if address is None:
             return
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from test_entry_controller import run, status
 
-from bramleycrank.daemon.http_node import CONTROL_LIMITS, Handler
+from bramleycrank.daemon.http_node import CONTROL_LIMITS, FunctionHandler
 from bramleycrank.transport.http1 import Http1Server, IntakeBudget
 from bramleycrank.transport.http1.client import MAX_RESPONSE_BYTES
 from bramleycrank.transport.http1.intake import CHUNK_FRAMING, MessageMeter
@@ -135,7 +135,7 @@
     async def scenario(world):
         port = world.port
         if address == "control":
-            handler = Handler(lambda exchange: exchange.respond(200, [], b""))
+            handler = FunctionHandler(lambda exchange: exchange.respond(200, [], b""))
             server = Http1Server(handler, lambda: CONTROL_LIMITS)
             await server.start("127.0.0.1", 0)
             port = server._server.sockets[0].getsockname()[1]
