--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -112,7 +112,7 @@
         self._callbacks: list[Callable[[], None]] = []
         self._tasks: set[asyncio.Task] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._last_seen: tuple[object, ...] = ()
+        self._last_seen_state: tuple[object, ...] = ()
         self._in_force = asyncio.Event()
         self._cache_error = ""
         self._routes = log_pb2.RouteTable()  # unpacked
@@ -278,8 +278,8 @@
         confirmed = self._consensus.confirmed_at() is not None
         revision = state.config.revision if state else -1
         seen = (revision, confirmed, self._consensus.leader_vm())
-        if seen != self._last_seen:
-            previous, self._last_seen = self._last_seen, seen
+        if seen != self._last_seen_state:
+            previous, self._last_seen_state = self._last_seen_state, seen
             self._adopt_local_state()
             if confirmed and seen != previous:
                 self._push(self._peers.spread_sample(PUSH_FANOUT))
@@ -328,11 +328,11 @@
                 case FetchConfig():
                     self._spawn(self._fetch(action))
                 case ConfigInForce():
-                    self._on_in_force(action.revision)
+                    self._on_config_in_force(action.revision)
         if self._follower.is_ready:
             self._in_force.set()
 
-    def _on_in_force(self, revision: int) -> None:
+    def _on_config_in_force(self, revision: int) -> None:
         log.info("config: revision %d is in force", revision)
         if self._cache is not None:
             self._save_to_cache()
--- a/bramleycrank/daemon/control_service.py
+++ b/bramleycrank/daemon/control_service.py
@@ -127,12 +127,12 @@
         return table
 
     async def announce(self, record: target_pb2.TargetRecord) -> None:
-        """Record a report of a target; an outdated one changes nothing.
+        """Record a report of a target; one that a later report has replaced changes nothing.
 
         Raises
         ------
         InvalidRequest
-            The report is invalid or outdated.
+            The report is invalid, of an old incarnation, or of one that has already left.
         Draining, Refused
             This VM cannot accept the report now; another VM may.
         """
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -256,7 +256,7 @@
             This VM has not joined within `JOIN_WAIT_S`. It may not know yet that the target left,
             and a delayed announcement would make it send new sub-requests to that target.
         InvalidRequest
-            The announcement is invalid or outdated.
+            The announcement is invalid, of an old incarnation, or of one that has already left.
         """
         deadline = self._clock() + JOIN_WAIT_S
         while not self.core.joined and not self._draining and self._clock() < deadline:
--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -72,7 +72,7 @@
         self._membership = membership
         self._clock = clock
         self._budget = ConnectionBudget(cfg, now)
-        self._context = LinkContext(
+        self._link_context = LinkContext(
             vm_id=vm_id,
             cfg=cfg,
             clock=clock,
@@ -88,7 +88,7 @@
         self._retiring: set[TargetLink] = set()
         self._down_callbacks: list[Callable[[str, bool], None]] = []
         self._load_callbacks: list[Callable[[str, LoadReport], None]] = []
-        # Starts at the time, so that ids differ from those of an earlier process of this VM.
+        # Starts at the time: a target must not confuse an id with one of an earlier process.
         self._sub_ids = itertools.count(time.time_ns() // 1000)
         self._task: asyncio.Task[None] | None = None
 
@@ -113,7 +113,7 @@
     async def start(self) -> None:
         """Open sessions to all usable targets and subscribe to changes of targets."""
         now = self._clock()
-        self._budget = ConnectionBudget(self._context.cfg, now)
+        self._budget = ConnectionBudget(self._link_context.cfg, now)
         self._budget.on_count(self._membership.vm_count(), now)
         self._membership.subscribe_targets(self._on_target)
         for record in self._membership.all_targets():
@@ -182,7 +182,7 @@
         return {
             "targets": {target_id: link.dump(now) for target_id, link in self._links.items()},
             "retiring": [link.dump(now) for link in self._retiring],
-            "reconnects": self._context.reconnects.dump(),
+            "reconnects": self._link_context.reconnects.dump(),
             "connections": self._budget.dump(),
         }
 
@@ -220,7 +220,7 @@
                 self._retiring.discard(link)
                 link.resume()
                 return link
-        return TargetLink(record, self._context)
+        return TargetLink(record, self._link_context)
 
     def _on_leaving(self, target_id: str, incarnation: int) -> None:
         """Record that a target announced on its session that it leaves.
@@ -232,7 +232,7 @@
     def _on_down(self, target_id: str, down: bool) -> None:
         log.info("sessions: target %s is %s", target_id, "down" if down else "up")
         if down:
-            self._context.metrics.incr("connections.target_down")
+            self._link_context.metrics.incr("connections.target_down")
         for callback in self._down_callbacks:
             callback(target_id, down)
 
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -187,8 +187,8 @@
 
 
 def test_cached_configuration_is_not_used_before_it_is_in_force():
-    # Otherwise a VM that was down for a long time would serve by the outdated file, although it
-    # receives messages of the leader.
+    # Otherwise a VM that was down for a long time would serve with the outdated configuration
+    # of the file, although it receives messages of the leader.
     async def scenario(voter, controller):
         with pytest.raises(ConfigurationUnavailable):
             controller.service("a")
@@ -221,7 +221,7 @@
 
 def test_ticks_continue_after_a_failed_tick(monkeypatch):
     # Without ticks, a VM that receives no gossip never fetches from the leader, and its
-    # configuration becomes ever older.
+    # configuration is never updated.
     async def scenario(voter, controller):
         ticks = []
 
--- a/tests/test_daemon_consensus_controller.py
+++ b/tests/test_daemon_consensus_controller.py
@@ -58,8 +58,8 @@
 
 
 def test_resent_bootstrap_is_refused_by_a_stopped_raft_node():
-    # The disk failed after the node had set its members in memory, so it treated the
-    # resend as already done.
+    # The disk failed after the node had set its members in memory, so it treated the resend
+    # as already completed.
     def bootstrap(membership):
         raise StorageError("no space left")
 
--- a/tests/test_session_controller.py
+++ b/tests/test_session_controller.py
@@ -32,7 +32,7 @@
         self.cancelled = []
         self.messages = 0
         self.streams = []
-        self.answer = lambda request: True
+        self.should_reply = lambda request: True
 
     async def Session(self, stream):  # noqa: N802
         if self.open >= self.limit:
@@ -52,7 +52,7 @@
     async def handle(self, stream, message):
         self.received += [request.sub_id for request in message.requests]
         self.cancelled += message.cancel_sub_ids
-        replies = [reply_to(r) for r in message.requests if self.answer(r)]
+        replies = [reply_to(r) for r in message.requests if self.should_reply(r)]
         if any(request.key == "last" for request in message.requests):
             await stream.send_message(pb.SessionReply(replies=replies))
             raise GRPCError(Status.UNAVAILABLE, "the target stops")
@@ -178,7 +178,7 @@
     """Guards against one message per sub-request, and replies matched to the wrong one."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         ids = [env.send(key=str(i)) for i in range(50)]
         await until(lambda: len(env.target.received) == 50)
         assert env.target.messages == 1
@@ -195,9 +195,9 @@
     """Guards against replies to a cancelled sub-request, and against useless work of the target."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
-        never = env.send()
-        env.sessions.cancel(never, "t")
+        env.target.should_reply = lambda request: False
+        unsent = env.send()
+        env.sessions.cancel(unsent, "t")
         sub_id = env.send()
         await until(lambda: env.target.received == [sub_id])
         env.sessions.cancel(sub_id, "t")
@@ -205,7 +205,7 @@
         await env.target.streams[0].send_message(
             pb.SessionReply(replies=[pb.SubReply(sub_id=sub_id)])
         )
-        env.target.answer = lambda request: True
+        env.target.should_reply = lambda request: True
         last = env.send()
         await until(lambda: env.listener.replies)
         assert set(env.listener.replies) == {last} and not env.listener.failures
@@ -239,7 +239,7 @@
     """Guards against closing a connection whose target replies to pings but not to sub-requests."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         sub_id = env.send()
         await asyncio.sleep(1.0)
         assert env.target.peak == 1 and not env.listener.failures and env.down == []
@@ -260,8 +260,8 @@
         await until(lambda: env.down == [True])
         assert env.listener.failures == {read: "target_down"}
         assert env.metrics.total == {"connections.opened": 1, "connections.target_down": 1}
-        late = env.send()
-        assert env.listener.failures[late] == "not_sent"
+        refused_id = env.send()
+        assert env.listener.failures[refused_id] == "not_sent"
         env.target.frozen.set()
         await until(lambda: env.down == [True, False])
         await until(lambda: write in env.listener.replies)
@@ -276,19 +276,19 @@
     """Guards against dropping replies because the connection closed directly after them."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
-        answered, lost = env.send(), env.send()
+        env.target.should_reply = lambda request: False
+        replied, lost = env.send(), env.send()
         await until(lambda: len(env.target.received) == 2)
         stream = env.target.streams[0]
-        replies = [pb.SubReply(sub_id=answered, payload=b"x" * 3000)]
+        replies = [pb.SubReply(sub_id=replied, payload=b"x" * 3000)]
         await stream.send_message(pb.SessionReply(replies=replies))
         stream._stream.connection._transport.close()
         await until(lambda: env.listener.failures)
-        assert set(env.listener.replies) == {answered}
+        assert set(env.listener.replies) == {replied}
         assert env.listener.failures == {lost: "connection_lost"}
-        env.target.answer = lambda request: True
-        held = env.send()
-        await until(lambda: held in env.listener.replies)
+        env.target.should_reply = lambda request: True
+        later = env.send()
+        await until(lambda: later in env.listener.replies)
         assert env.down == []
 
     run(scenario)
@@ -309,7 +309,7 @@
     """Guards against new sub-requests to a leaving target, and against aborting those in flight."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         sub_id = env.send()
         await until(lambda: env.target.received == [sub_id])
         unwritten = env.send()
@@ -371,7 +371,7 @@
     """Guards against exceeding the connection limit while earlier sub-requests are in flight."""
 
     async def scenario(env):
-        env.target.answer = lambda request: not request.key
+        env.target.should_reply = lambda request: not request.key
         slow = env.send(key="slow")
         await until(lambda: env.target.received == [slow])
         replace_record(env, False, 7)
