--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -50,12 +50,12 @@
 class FunctionHandler:
     """Passes requests to a function that responds to them."""
 
-    def __init__(self, answer: Callable[[Exchange], None]) -> None:
-        self._answer = answer
+    def __init__(self, respond: Callable[[Exchange], None]) -> None:
+        self._respond = respond
 
     def on_request(self, exchange: Exchange) -> None:
         """Respond to a request."""
-        self._answer(exchange)
+        self._respond(exchange)
 
 
 @attrs.frozen(kw_only=True)
--- a/bramleycrank/daemon/query_controller.py
+++ b/bramleycrank/daemon/query_controller.py
@@ -170,19 +170,19 @@
             raise
 
     async def _run(self, ctx: RequestContext) -> Answer:
-        outcome = "unexpected"
+        result = "unexpected"
         try:
             if self._draining:
                 raise Draining(retry_after_ms=DRAIN_RETRY_MS)
             answer = await self._chain(ctx)
-            outcome = answer.outcome
+            result = answer.outcome
             return answer
         except BramleycrankError as exc:
             settle_outcome(ctx, exc)
-            outcome = exc.name
+            result = exc.name
             raise
         except asyncio.CancelledError:
-            outcome = "cancelled"
+            result = "cancelled"
             raise
         except Exception:
             log.exception("query: a request failed unexpectedly")
@@ -190,7 +190,7 @@
             settle_outcome(ctx, error)
             raise error from None
         finally:
-            self._metrics.incr(f"query.requests.{outcome}")
+            self._metrics.incr(f"query.requests.{result}")
             self._metrics.timing("query.latency", (self._clock() - ctx.received_at) * 1e3)
 
     def _spawn(self, coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
