--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -310,7 +310,7 @@
         if meta.wrong_target or not meta.request_id:
             return
         if meta.leaving:
-            self._targets.record_leaving(sub.target_id, sub.incarnation)
+            self._targets.mark_leaving(sub.target_id, sub.incarnation)
         if meta.hold_s:
             self._targets.hold(sub.target_id, sub.incarnation, meta.hold_s)
 
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -42,7 +42,7 @@
     def vm_count(self, domain: str | None = None) -> int:
         """Return how many VMs share the budgets."""
 
-    def record_leaving(self, target_id: str, incarnation: int) -> None:
+    def mark_leaving(self, target_id: str, incarnation: int) -> None:
         """Record that a target itself said that it leaves."""
 
 
@@ -140,11 +140,11 @@
         """Return the incarnation of a target that gets requests now; 0 if it gets none."""
         return self._incarnations.get(target_id, 0)
 
-    def record_leaving(self, target_id: str, incarnation: int) -> None:
+    def mark_leaving(self, target_id: str, incarnation: int) -> None:
         """Send nothing more to an incarnation of a target, which said that it leaves."""
         if self.incarnation(target_id) == incarnation:
             log.info("entry: target says that it leaves", extra={"target": target_id})
-        self._source.record_leaving(target_id, incarnation)
+        self._source.mark_leaving(target_id, incarnation)
 
     def hold(self, target_id: str, incarnation: int, hold_s: float) -> None:
         """Send nothing to an incarnation of a target for some time, as it asked."""
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -296,9 +296,9 @@
                 await asyncio.wait_for(acknowledged.wait(), LEAVE_WAIT_S)
         return LeaveReply()
 
-    def record_leaving(self, target_id: str, incarnation: int) -> None:
+    def mark_leaving(self, target_id: str, incarnation: int) -> None:
         """Record that a target announced to this VM that it leaves."""
-        self._execute(self.registry.record_leaving(target_id, incarnation, self._clock()))
+        self._execute(self.registry.mark_leaving(target_id, incarnation, self._clock()))
 
     # Execution of actions.
 
--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -227,7 +227,7 @@
 
         This VM may be partitioned from the home VM of the target, which would send the record.
         """
-        self._membership.record_leaving(target_id, incarnation)
+        self._membership.mark_leaving(target_id, incarnation)
 
     def _on_down(self, target_id: str, down: bool) -> None:
         log.info("sessions: target %s is %s", target_id, "down" if down else "up")
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -184,7 +184,7 @@
         left.target_id, left.incarnation = request.target_id, request.incarnation
         return [*self._store(left, now), PushRecords((left,))]
 
-    def record_leaving(self, target_id: str, incarnation: int, now: float) -> list[Action]:
+    def mark_leaving(self, target_id: str, incarnation: int, now: float) -> list[Action]:
         """Record that a target told this VM that it leaves; final for this incarnation.
 
         The target tells each VM that asks it, and reports it as well, so a few VMs are told here.
--- a/tests/test_entry_wishes.py
+++ b/tests/test_entry_wishes.py
@@ -44,11 +44,11 @@
         await super().__aenter__()
         entry_targets = self.entry._targets
 
-        def record_leaving(target_id: str, incarnation: int) -> None:
+        def mark_leaving(target_id: str, incarnation: int) -> None:
             self.gone.append((target_id, incarnation))
             entry_targets._refresh(target_id[0])
 
-        entry_targets._source.record_leaving = record_leaving
+        entry_targets._source.mark_leaving = mark_leaving
         return self
 
 
--- a/tests/test_membership_bounds.py
+++ b/tests/test_membership_bounds.py
@@ -312,10 +312,10 @@
     registry, other = (TargetRegistry.from_config(CFG, vm, 0.0) for vm in ("vm", "other"))
     registry.announce(announcement(sequence=4), 0.0)
     other.announce(announcement(sequence=4), 0.0)
-    assert registry.record_leaving("t", 2, 1.0) == [] == registry.record_leaving("u", 1, 1.0)
-    actions = registry.record_leaving("t", 1, 1.0)
+    assert registry.mark_leaving("t", 2, 1.0) == [] == registry.mark_leaving("u", 1, 1.0)
+    actions = registry.mark_leaving("t", 1, 1.0)
     assert [a.fanout for a in actions if isinstance(a, PushRecords)], "a few VMs are told"
-    assert registry.record_leaving("t", 1, 1.1) == [], "they are told once"
+    assert registry.mark_leaving("t", 1, 1.1) == [], "they are told once"
     other.announce(announcement(sequence=9), 2.0)
     registry.merge([other.outgoing("t", 2.0)], 2.0)
     with pytest.raises(InvalidRequest):
--- a/tests/test_session_controller.py
+++ b/tests/test_session_controller.py
@@ -85,7 +85,7 @@
     def subscribe_targets(self, callback):
         self.callback = callback
 
-    def record_leaving(self, target_id, incarnation):
+    def mark_leaving(self, target_id, incarnation):
         self.left.append((target_id, incarnation))
 
 
