--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -59,7 +59,7 @@
     def spread_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of up to `count` VMs, spread over the failure domains."""
 
-    def own_domain_sample(self, count: int) -> Sequence[str]:
+    def local_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of up to `count` VMs of the own failure domain."""
 
     def is_far(self, address: str) -> bool:
@@ -371,7 +371,7 @@
             actions = self._follower.on_fetched(action.peer_address, reply, now)
             self._execute(actions)
             if any(isinstance(item, ConfigInForce) for item in actions):
-                self._push(self._peers.own_domain_sample(RELAY_FANOUT))
+                self._push(self._peers.local_sample(RELAY_FANOUT))
 
     def _push(self, addresses: Sequence[str]) -> None:
         """Announce the revision in force to some VMs, which then fetch it from this one."""
--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -55,7 +55,7 @@
         """Return the addresses of some VMs, spread over the failure domains."""
         return self._membership.core.sample(count, near_only=False) or self._seeds
 
-    def own_domain_sample(self, count: int) -> Sequence[str]:
+    def local_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs of the own failure domain."""
         return self._membership.core.sample(count, near_only=True)
 
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -74,7 +74,7 @@
     def spread_sample(self, count):
         return self._peers[:count]
 
-    own_domain_sample = spread_sample
+    local_sample = spread_sample
 
     def is_far(self, address):
         return False
