--- a/tests/test_daemon_raft_runner.py
+++ b/tests/test_daemon_raft_runner.py
@@ -1,4 +1,4 @@
-"""Order of actions, group commit and what a failing disk does to those who wait."""
+"""Raft runner: order of actions, group commit, disk failures and results of proposals."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,8 +16,8 @@
 PERSIST = types.Persist(entries=(log_pb2.Entry(index=1),))
 
 
-class World:
-    """A runner whose core answers from a script; `trace` holds what was executed, in order."""
+class RunnerFixture:
+    """A runner with a fake Raft node that returns `actions`; `trace` lists executed actions."""
 
     def __init__(self):
         self.trace = []
@@ -57,79 +57,80 @@
 
 def run(scenario):
     async def body():
-        await scenario(World())
+        await scenario(RunnerFixture())
 
     asyncio.run(body())
 
 
-async def turn():
+async def run_iterations():
     for _ in range(3):
         await asyncio.sleep(0)
 
 
-def test_proposals_of_one_turn_share_one_sync_before_the_messages():
-    async def scenario(world):
-        futures = [world.runner.propose(name, log_pb2.Command()) for name in "abc"]
-        await turn()
-        assert world.batches == [["a", "b", "c"]]
-        assert world.trace == ["persist", "send"]
+def test_proposals_of_one_loop_iteration_share_one_sync_before_messages_are_sent():
+    async def scenario(fixture):
+        futures = [fixture.runner.propose(name, log_pb2.Command()) for name in "abc"]
+        await run_iterations()
+        assert fixture.batches == [["a", "b", "c"]]
+        assert fixture.trace == ["persist", "send"]
         assert not any(future.done() for future in futures)
 
     run(scenario)
 
 
-def test_repeated_proposal_waits_on_the_first():
-    async def scenario(world):
-        first = world.runner.propose("a", log_pb2.Command())
-        assert world.runner.propose("a", log_pb2.Command()) is first
-        await turn()
-        assert world.batches == [["a"]]
+def test_resent_proposal_shares_the_future_of_the_first():
+    async def scenario(fixture):
+        first = fixture.runner.propose("a", log_pb2.Command())
+        assert fixture.runner.propose("a", log_pb2.Command()) is first
+        await run_iterations()
+        assert fixture.batches == [["a"]]
 
     run(scenario)
 
 
-def test_failing_disk_stops_the_core_before_it_promises_anything():
-    # A vote or an acknowledgement that was sent without being durable can lose a commit.
-    async def scenario(world):
-        world.disk_fails = True
-        waiting = world.runner.propose("a", log_pb2.Command())
-        await turn()
-        assert world.trace == []
+def test_disk_failure_stops_the_node_before_it_sends_a_message():
+    # A vote or an acknowledgement that is sent before it is durable can lose a committed entry.
+    async def scenario(fixture):
+        fixture.disk_fails = True
+        waiting = fixture.runner.propose("a", log_pb2.Command())
+        await run_iterations()
+        assert fixture.trace == []
         with pytest.raises(ProposalOutcomeUnknown, match="no space left"):
             await waiting
-        world.disk_fails = False
-        world.runner.receive(log_pb2.ConsensusMessage())
+        fixture.disk_fails = False
+        fixture.runner.receive(log_pb2.ConsensusMessage())
         with pytest.raises(NoQuorum):
-            await world.runner.propose("b", log_pb2.Command())
-        await turn()
-        assert world.trace == [] and "no space left" in world.runner.dump()["failure"]
+            await fixture.runner.propose("b", log_pb2.Command())
+        await run_iterations()
+        assert fixture.trace == [] and "no space left" in fixture.runner.dump()["failure"]
 
     run(scenario)
 
 
-def test_bootstrap_that_reached_no_disk_is_not_acknowledged():
-    # The operator would take a VM for a voter that knows nothing of the cluster after a restart.
-    async def scenario(world):
-        world.disk_fails = True
-        world.node.bootstrap = lambda membership, now: [PERSIST]
+def test_bootstrap_that_is_not_durable_is_not_acknowledged():
+    # Otherwise the operator counts the VM as a voter, which does not know the cluster after a
+    # restart.
+    async def scenario(fixture):
+        fixture.disk_fails = True
+        fixture.node.bootstrap = lambda membership, now: [PERSIST]
         for _ in range(2):
             with pytest.raises(StorageError, match="no space left"):
-                world.runner.bootstrap(log_pb2.Membership())
+                fixture.runner.bootstrap(log_pb2.Membership())
 
     run(scenario)
 
 
-def test_outcomes_reach_the_proposal_they_belong_to():
-    async def scenario(world):
-        futures = {name: world.runner.propose(name, log_pb2.Command()) for name in "abc"}
+def test_each_outcome_resolves_the_proposal_with_its_id():
+    async def scenario(fixture):
+        futures = {name: fixture.runner.propose(name, log_pb2.Command()) for name in "abc"}
         entry = log_pb2.Entry(index=1, proposal_id="a", command=b"")
-        world.actions = [
+        fixture.actions = [
             types.Apply((entry,)),
             types.ProposalRejected("b", NoQuorum()),
             types.ProposalUnresolved("c"),
         ]
-        await turn()
-        assert (await futures["a"]).code == log_pb2.RESULT_CODE_INVALID  # An empty command.
+        await run_iterations()
+        assert (await futures["a"]).code == log_pb2.RESULT_CODE_INVALID  # The command is empty.
         with pytest.raises(NoQuorum):
             await futures["b"]
         with pytest.raises(ProposalOutcomeUnknown):
@@ -139,24 +140,24 @@
 
 
 def test_log_is_compacted_every_thousand_entries():
-    async def scenario(world):
+    async def scenario(fixture):
         entries = [log_pb2.Entry(index=n + 1) for n in range(COMPACT_ENTRIES)]
-        world.actions = [types.Apply(tuple(entries[:-1]))]
-        world.runner.receive(log_pb2.ConsensusMessage())
-        await turn()
-        assert world.compacted == []
-        world.actions = [types.Apply(tuple(entries[-1:]))]
-        world.runner.receive(log_pb2.ConsensusMessage())
-        await turn()
-        assert world.compacted == [COMPACT_ENTRIES]
+        fixture.actions = [types.Apply(tuple(entries[:-1]))]
+        fixture.runner.receive(log_pb2.ConsensusMessage())
+        await run_iterations()
+        assert fixture.compacted == []
+        fixture.actions = [types.Apply(tuple(entries[-1:]))]
+        fixture.runner.receive(log_pb2.ConsensusMessage())
+        await run_iterations()
+        assert fixture.compacted == [COMPACT_ENTRIES]
 
     run(scenario)
 
 
-def test_closing_tells_waiting_callers_that_the_outcome_is_unknown():
-    async def scenario(world):
-        waiting = world.runner.propose("a", log_pb2.Command())
-        world.runner.close()
+def test_closing_fails_pending_proposals_with_outcome_unknown():
+    async def scenario(fixture):
+        waiting = fixture.runner.propose("a", log_pb2.Command())
+        fixture.runner.close()
         with pytest.raises(ProposalOutcomeUnknown):
             await waiting
 
--- a/tests/test_session_controller.py
+++ b/tests/test_session_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the session layer against real grpclib servers on loopback."""
+"""Session controller against real gRPC servers on loopback."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 
 
 class FakeTarget(TargetBase):
-    """Target whose answers a test can hold back, and whose connections can go silent."""
+    """Target whose replies a test can suppress, and whose connections can become silent."""
 
     def __init__(self):
         self.silent = set()
@@ -32,7 +32,7 @@
         self.cancelled = []
         self.messages = 0
         self.streams = []
-        self.answer = lambda request: True
+        self.should_reply = lambda request: True
 
     async def Session(self, stream):  # noqa: N802
         if self.open >= self.limit:
@@ -52,7 +52,7 @@
     async def handle(self, stream, message):
         self.received += [request.sub_id for request in message.requests]
         self.cancelled += message.cancel_sub_ids
-        replies = [reply_to(r) for r in message.requests if self.answer(r)]
+        replies = [reply_to(r) for r in message.requests if self.should_reply(r)]
         if any(request.key == "last" for request in message.requests):
             await stream.send_message(pb.SessionReply(replies=replies))
             raise GRPCError(Status.UNAVAILABLE, "the target stops")
@@ -90,7 +90,7 @@
 
 
 class Recorder:
-    """Listener that keeps what it hears."""
+    """Listener that records replies and failures."""
 
     def __init__(self):
         self.replies = {}
@@ -105,8 +105,8 @@
         self.failures[sub_id] = str(reason)
 
 
-class Counts(NullMetrics):
-    """Keeps the counters."""
+class RecordedMetrics(NullMetrics):
+    """Metrics that record the counters."""
 
     def __init__(self):
         self.total = Counter()
@@ -125,7 +125,7 @@
 
 
 def run(scenario, **options):
-    """Run a scenario with a target and a session controller that is past its joining time."""
+    """Run a scenario with one target and a session controller that is connected to it."""
 
     async def main():
         target = FakeTarget()
@@ -137,14 +137,14 @@
         )
         membership = FakeMembership(record)
         cfg = ConnectionConfig(join_s=0.0, **options)
-        counts = Counts()
-        sessions = SessionController("vm-0", cfg, membership, metrics=counts)
+        metrics = RecordedMetrics()
+        sessions = SessionController("vm-0", cfg, membership, metrics=metrics)
         await sessions.start()
         await until(lambda: sessions.is_connected("t"))
         env = SimpleNamespace(
-            target=target, membership=membership, sessions=sessions, log=Recorder(), down=[]
+            target=target, membership=membership, sessions=sessions, listener=Recorder(), down=[]
         )
-        env.counts = counts
+        env.metrics = metrics
         sessions.subscribe_down(lambda target_id, down: env.down.append(down))
         env.send = lambda **fields: send(env, **fields)
         try:
@@ -161,11 +161,11 @@
 def send(env, **fields):
     sub_id = env.sessions.next_sub_id()
     request = pb.SubRequest(sub_id=sub_id, timeout_ms=3000, service="s", **fields)
-    env.sessions.send("t", request, env.log)
+    env.sessions.send("t", request, env.listener)
     return sub_id
 
 
-def announce(env, usable, incarnation):
+def replace_record(env, usable, incarnation):
     """Replace the record of the target."""
     record = pb.TargetRecord()
     record.CopyFrom(env.membership.record)
@@ -174,30 +174,30 @@
     env.membership.callback(record)
 
 
-def test_requests_of_one_turn_share_a_message_and_replies_may_come_in_any_order():
-    """Guards against a message per request, and replies that reach the wrong request."""
+def test_sub_requests_of_one_loop_iteration_share_a_message_and_replies_arrive_in_any_order():
+    """Guards against one message per sub-request, and replies matched to the wrong one."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         ids = [env.send(key=str(i)) for i in range(50)]
         await until(lambda: len(env.target.received) == 50)
         assert env.target.messages == 1
         for sub_id in reversed(ids):
             reply = pb.SubReply(sub_id=sub_id, payload=str(sub_id).encode())
             await env.target.streams[0].send_message(pb.SessionReply(replies=[reply, reply]))
-        await until(lambda: len(env.log.replies) == 50)
-        assert all(r.payload == str(i).encode() for i, r in env.log.replies.items())
+        await until(lambda: len(env.listener.replies) == 50)
+        assert all(r.payload == str(i).encode() for i, r in env.listener.replies.items())
 
     run(scenario)
 
 
-def test_cancelled_request_is_dropped_or_told_to_the_target():
-    """Guards against replies to a request that was given up, and against useless work."""
+def test_cancelled_sub_request_is_not_sent_or_is_cancelled_on_the_target():
+    """Guards against replies to a cancelled sub-request, and against useless work of the target."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
-        never = env.send()
-        env.sessions.cancel(never, "t")
+        env.target.should_reply = lambda request: False
+        unsent = env.send()
+        env.sessions.cancel(unsent, "t")
         sub_id = env.send()
         await until(lambda: env.target.received == [sub_id])
         env.sessions.cancel(sub_id, "t")
@@ -205,238 +205,240 @@
         await env.target.streams[0].send_message(
             pb.SessionReply(replies=[pb.SubReply(sub_id=sub_id)])
         )
-        env.target.answer = lambda request: True
+        env.target.should_reply = lambda request: True
         last = env.send()
-        await until(lambda: env.log.replies)
-        assert set(env.log.replies) == {last} and not env.log.failures
+        await until(lambda: env.listener.replies)
+        assert set(env.listener.replies) == {last} and not env.listener.failures
 
     run(scenario)
 
 
 def test_silent_connection_is_replaced_and_the_target_stays_up():
-    """Guards against treating a connection that went silent for good as a dead target."""
+    """Guards against marking a target as down when only one of its connections is silent."""
 
     async def scenario(env):
         env.target.silent.add(env.target.streams[0])
         lost = [env.send(), env.send(request_key="k")]
-        took_s = await until(lambda: len(env.log.failures) == 2)
+        took_s = await until(lambda: len(env.listener.failures) == 2)
         assert took_s < 1.0
-        assert set(env.log.failures) == set(lost)
-        assert set(env.log.failures.values()) == {"connection_lost"}
+        assert set(env.listener.failures) == set(lost)
+        assert set(env.listener.failures.values()) == {"connection_lost"}
         env.send()
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
         assert env.down == [] and env.target.peak == 2
-        assert env.counts.total == {"connections.opened": 2, "connections.silent": 1}
+        assert env.metrics.total == {"connections.opened": 2, "connections.silent": 1}
         await until(lambda: env.target.open == 1)
-        assert not set(lost) & set(env.target.received), "nothing is sent twice by itself"
+        assert not set(lost) & set(env.target.received), (
+            "a lost sub-request is not resent automatically"
+        )
 
     run(scenario)
 
 
-def test_slow_target_keeps_its_connection():
-    """Guards against closing a connection whose target answers pings but not requests."""
+def test_connection_of_a_slow_target_stays_open():
+    """Guards against closing a connection whose target replies to pings but not to sub-requests."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         sub_id = env.send()
         await asyncio.sleep(1.0)
-        assert env.target.peak == 1 and not env.log.failures and env.down == []
+        assert env.target.peak == 1 and not env.listener.failures and env.down == []
         await env.target.streams[0].send_message(
             pb.SessionReply(replies=[pb.SubReply(sub_id=sub_id)])
         )
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
 
     run(scenario)
 
 
-def test_frozen_target_is_down_until_it_answers_again():
-    """Guards against hanging reads, a lost reply of a write, and reconnects without end."""
+def test_frozen_target_is_down_until_it_replies_again():
+    """Guards against hanging reads, a lost reply to a write, and endless reconnects."""
 
     async def scenario(env):
         env.target.frozen.clear()
         read, write = env.send(), env.send(request_key="k")
         await until(lambda: env.down == [True])
-        assert env.log.failures == {read: "target_down"}
-        assert env.counts.total == {"connections.opened": 1, "connections.target_down": 1}
-        late = env.send()
-        assert env.log.failures[late] == "not_sent"
+        assert env.listener.failures == {read: "target_down"}
+        assert env.metrics.total == {"connections.opened": 1, "connections.target_down": 1}
+        refused_id = env.send()
+        assert env.listener.failures[refused_id] == "not_sent"
         env.target.frozen.set()
         await until(lambda: env.down == [True, False])
-        await until(lambda: write in env.log.replies)
+        await until(lambda: write in env.listener.replies)
         env.send()
-        await until(lambda: len(env.log.replies) == 2)
+        await until(lambda: len(env.listener.replies) == 2)
         await until(lambda: env.target.open == 1)
 
     run(scenario)
 
 
-def test_abrupt_close_delivers_what_arrived_and_reconnects():
-    """Guards against replies that are dropped since the connection ended right behind them."""
+def test_replies_before_an_abrupt_close_are_delivered_and_the_target_is_reconnected():
+    """Guards against dropping replies because the connection closed directly after them."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
-        answered, lost = env.send(), env.send()
+        env.target.should_reply = lambda request: False
+        replied, lost = env.send(), env.send()
         await until(lambda: len(env.target.received) == 2)
         stream = env.target.streams[0]
-        replies = [pb.SubReply(sub_id=answered, payload=b"x" * 3000)]
+        replies = [pb.SubReply(sub_id=replied, payload=b"x" * 3000)]
         await stream.send_message(pb.SessionReply(replies=replies))
         stream._stream.connection._transport.close()
-        await until(lambda: env.log.failures)
-        assert set(env.log.replies) == {answered}
-        assert env.log.failures == {lost: "connection_lost"}
-        env.target.answer = lambda request: True
-        held = env.send()
-        await until(lambda: held in env.log.replies)
+        await until(lambda: env.listener.failures)
+        assert set(env.listener.replies) == {replied}
+        assert env.listener.failures == {lost: "connection_lost"}
+        env.target.should_reply = lambda request: True
+        later = env.send()
+        await until(lambda: later in env.listener.replies)
         assert env.down == []
 
     run(scenario)
 
 
 def test_replies_before_a_reset_are_delivered():
-    """Guards against replies lost in grpclib's buffer, when a reset arrives in the same packet."""
+    """Guards against replies lost in the buffer of grpclib if a reset is in the same packet."""
 
     async def scenario(env):
         ids = [env.send(key="last") for _ in range(20)]
-        await until(lambda: len(env.log.replies) + len(env.log.failures) == 20)
-        assert set(env.log.replies) == set(ids)
+        await until(lambda: len(env.listener.replies) + len(env.listener.failures) == 20)
+        assert set(env.listener.replies) == set(ids)
 
     run(scenario)
 
 
-def test_leaving_target_gets_no_new_work_but_finishes_what_it_has():
-    """Guards against new work for a leaving target, and against cutting its work in flight."""
+def test_leaving_target_gets_no_new_sub_requests_but_completes_those_in_flight():
+    """Guards against new sub-requests to a leaving target, and against aborting those in flight."""
 
     async def scenario(env):
-        env.target.answer = lambda request: False
+        env.target.should_reply = lambda request: False
         sub_id = env.send()
         await until(lambda: env.target.received == [sub_id])
         unwritten = env.send()
         env.membership.usable = False
         env.membership.callback(env.membership.record)
         refused = env.send()
-        assert env.log.failures == {unwritten: "not_sent", refused: "not_sent"}
+        assert env.listener.failures == {unwritten: "not_sent", refused: "not_sent"}
         await asyncio.sleep(0.1)
         assert env.target.open == 1 and env.target.received == [sub_id]
         reply = pb.SubReply(sub_id=sub_id, status=pb.SUB_STATUS_LEAVING)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
         await until(lambda: env.target.open == 0)
-        assert sub_id in env.log.replies and env.membership.left == [("t", 7)]
+        assert sub_id in env.listener.replies and env.membership.left == [("t", 7)]
 
     run(scenario)
 
 
-def test_reads_on_a_silent_connection_of_a_leaving_target_run_elsewhere():
-    """Guards against reads that wait for their deadline since nobody watches the connection."""
+def test_reads_on_a_silent_connection_of_a_leaving_target_fail_early():
+    """Guards against reads that wait until their deadline because no monitor watches the link."""
 
     async def scenario(env):
         env.target.silent.add(env.target.streams[0])
         read, write = env.send(), env.send(request_key="k")
         await asyncio.sleep(0.05)
-        announce(env, False, 7)
-        took_s = await until(lambda: env.log.failures)
+        replace_record(env, False, 7)
+        took_s = await until(lambda: env.listener.failures)
         assert took_s < 1.0
-        assert env.log.failures == {read: "target_down"}
+        assert env.listener.failures == {read: "target_down"}
         assert (
             env.target.peak == 1
             and env.down == []
-            and not env.counts.total - Counter({"connections.opened": 1})
+            and not env.metrics.total - Counter({"connections.opened": 1})
         )
         reply = pb.SubReply(sub_id=write)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
         await until(lambda: env.target.open == 0)
-        assert write in env.log.replies
+        assert write in env.listener.replies
 
     run(scenario)
 
 
 def test_target_that_was_down_is_up_again_after_a_restart():
-    """Guards against a target that stays down for good, since only its old session could say up."""
+    """Guards against a target that stays down because the session that marked it was replaced."""
 
     async def scenario(env):
         env.target.frozen.clear()
         env.send()
         await until(lambda: env.down == [True])
-        announce(env, False, 7)
+        replace_record(env, False, 7)
         env.target.frozen.set()
-        announce(env, True, 8)
+        replace_record(env, True, 8)
         await until(lambda: env.sessions.is_connected("t"))
         assert env.down == [True, False]
 
     run(scenario)
 
 
-def test_target_that_is_usable_again_keeps_its_connection():
-    """Guards against connections above the limit while work of the earlier time is in flight."""
+def test_target_that_is_usable_again_reuses_its_connection():
+    """Guards against exceeding the connection limit while earlier sub-requests are in flight."""
 
     async def scenario(env):
-        env.target.answer = lambda request: not request.key
+        env.target.should_reply = lambda request: not request.key
         slow = env.send(key="slow")
         await until(lambda: env.target.received == [slow])
-        announce(env, False, 7)
-        announce(env, True, 7)
+        replace_record(env, False, 7)
+        replace_record(env, True, 7)
         quick = env.send()
-        await until(lambda: quick in env.log.replies)
-        assert env.target.peak == 1 and not env.log.failures
+        await until(lambda: quick in env.listener.replies)
+        assert env.target.peak == 1 and not env.listener.failures
         reply = pb.SubReply(sub_id=slow)
         await env.target.streams[0].send_message(pb.SessionReply(replies=[reply]))
-        await until(lambda: slow in env.log.replies)
+        await until(lambda: slow in env.listener.replies)
 
     run(scenario)
 
 
-def test_session_that_is_closed_before_it_connects_leaves_nothing_behind():
-    """Guards against a retired link that is kept for good."""
+def test_session_that_is_closed_before_it_connects_is_removed():
+    """Guards against a retired link that is never removed."""
 
     async def scenario(env):
-        announce(env, False, 7)
-        announce(env, True, 8)
-        announce(env, False, 8)
+        replace_record(env, False, 7)
+        replace_record(env, True, 8)
+        replace_record(env, False, 8)
         await until(lambda: not env.sessions.dump()["retiring"])
         await until(lambda: env.target.open == 0)
 
     run(scenario)
 
 
-def test_target_at_its_connection_limit_gets_its_silent_connection_replaced():
-    """Guards against a silent connection that stays, since it uses the target's last place."""
+def test_silent_connection_of_a_target_at_its_connection_limit_is_replaced():
+    """Guards against a silent connection that stays open because it uses up the limit."""
 
     async def scenario(env):
         env.target.limit = 1
         env.target.silent.add(env.target.streams[0])
         env.send()
-        await until(lambda: env.log.failures)
+        await until(lambda: env.listener.failures)
         env.send()
-        await until(lambda: env.log.replies or len(env.log.failures) > 1)
+        await until(lambda: env.listener.replies or len(env.listener.failures) > 1)
         await until(lambda: env.sessions.is_connected("t"))
         env.send()
-        await until(lambda: env.log.replies)
+        await until(lambda: env.listener.replies)
         assert env.target.peak == 1
 
     run(scenario)
 
 
 def test_flow_control_does_not_block_pings_and_replies():
-    """Guards against a large message that waits for the target's window and blocks everything."""
+    """Guards against a large message that waits for flow control and blocks the connection."""
 
     async def scenario(env):
         env.target.frozen.clear()
         ids = [env.send(payload=b"x" * 60_000, request_key="k") for _ in range(200)]
         await asyncio.sleep(0.2)
         env.target.frozen.set()
-        await until(lambda: len(env.log.replies) == len(ids), limit_s=8.0)
-        assert not env.log.failures
+        await until(lambda: len(env.listener.replies) == len(ids), limit_s=8.0)
+        assert not env.listener.failures
 
     run(scenario, silence_min_s=5.0, silence_max_s=5.0)
 
 
-def test_targets_that_are_down_take_turns_at_the_reconnect_budget(monkeypatch):
-    """Guards against targets that are never tried again while many others are down."""
-    tries = Counter()
+def test_targets_that_are_down_share_the_reconnect_budget(monkeypatch):
+    """Guards against targets that are never reconnected while many others are down."""
+    attempts = Counter()
     monkeypatch.setattr(
         TargetLink,
         "_open",
         lambda link: (
-            tries.update([link.target_id]),
+            attempts.update([link.target_id]),
             link._execute(link.monitor.on_open_failed(time.monotonic())),
         ),
     )
@@ -451,7 +453,7 @@
         await sessions.start()
         for record in records[1:]:
             membership.callback(record)
-        await until(lambda: min(tries[record.target_id] for record in records) > 2, 8.0)
+        await until(lambda: min(attempts[record.target_id] for record in records) > 2, 8.0)
         await sessions.stop()
 
     asyncio.run(scenario())
