--- a/bramleycrank/transport/change_checks.py
+++ b/bramleycrank/transport/change_checks.py
@@ -12,7 +12,7 @@
 from bramleycrank.proto import log_pb2
 from bramleycrank.query.types import CLASSES, READ_KINDS
 
-# The bound of callers' bodies; a change of this size is a mistake.
+# The same limit as for the bodies of callers; no valid change comes near it.
 MAX_CHANGE_BYTES = 64 * 1024
 
 MAX_NAME_CHARS = 128
@@ -31,7 +31,9 @@
         The change is larger than `MAX_CHANGE_BYTES`.
     """
     if change.ByteSize() > MAX_CHANGE_BYTES:
-        raise BodyTooLarge(f"a change may have {MAX_CHANGE_BYTES} bytes, not {change.ByteSize()}")
+        raise BodyTooLarge(
+            f"a change may have at most {MAX_CHANGE_BYTES} bytes, not {change.ByteSize()}"
+        )
     check_known_fields(change, "change")
     check_name(change.change_id, "change_id")
     match change.WhichOneof("body"):
@@ -46,10 +48,15 @@
 
 
 def check_known_fields(message: Message, path: str) -> None:
-    """Raise `InvalidChange` for a field that this version does not know, at any depth.
+    """Reject a change with a field that this version does not know, at any depth.
 
-    Such a field would be lost without notice, so that the operator would believe in a setting
-    that is not in force.
+    Such a field would be dropped silently, and the operator would assume that its setting is in
+    force.
+
+    Raises
+    ------
+    InvalidChange
+        A field is unknown.
     """
     unknown = UnknownFieldSet(message)
     if len(unknown):
@@ -60,14 +67,18 @@
                 check_known_fields(item, f"{path}.{field.name}")
 
 
-def check_name(name: str, what: str) -> None:
-    """Raise `InvalidChange` for a name that is empty, too long or not printable."""
+def check_name(name: str, field_path: str) -> None:
+    """Reject a name that is empty, too long or not printable with `InvalidChange`."""
     if not name:
-        raise InvalidChange(f"{what}: is empty")
+        raise InvalidChange(f"{field_path}: must not be empty")
     if len(name) > MAX_NAME_CHARS:
-        raise InvalidChange(f"{what}: {len(name)} characters; at most {MAX_NAME_CHARS} are allowed")
+        raise InvalidChange(
+            f"{field_path}: {len(name)} characters; at most {MAX_NAME_CHARS} are allowed"
+        )
     if not name.isprintable() or name != name.strip():
-        raise InvalidChange(f"{what}: {name!r} has characters that are not allowed")
+        raise InvalidChange(
+            f"{field_path}: {name!r} has unprintable characters or surrounding whitespace"
+        )
 
 
 def _check_service(service: log_pb2.ServiceConfig) -> None:
@@ -86,12 +97,12 @@
     _check_limit(service.hits_limit, MAX_HITS, "put_service.hits_limit")
 
 
-def _check_unique(names: Sequence[str] | Iterable[str], what: str) -> None:
+def _check_unique(names: Sequence[str] | Iterable[str], field_path: str) -> None:
     names = list(names)
     if len(set(names)) != len(names):
-        raise InvalidChange(f"{what}: a name is given twice")
+        raise InvalidChange(f"{field_path}: a name is listed twice")
 
 
-def _check_limit(value: int, limit: int, what: str) -> None:
+def _check_limit(value: int, limit: int, field_path: str) -> None:
     if value > limit:
-        raise InvalidChange(f"{what}: {value} is above {limit}")
+        raise InvalidChange(f"{field_path}: {value} exceeds the limit of {limit}")
--- a/bramleycrank/transport/consensus_links.py
+++ b/bramleycrank/transport/consensus_links.py
@@ -1,8 +1,8 @@
 """Ordered, bounded sending of consensus messages to other VMs.
 
-Each peer has its own queue and its own task, so a silent peer delays no other. The queue drops
-its oldest messages when the peer is slow: the consensus core repeats what matters, and an old
-message is worth less than a new one.
+Each peer has its own queue and task, so a silent peer does not delay the others. A full queue drops
+its oldest messages: the consensus core sends again whatever is still needed, and newer messages
+supersede older ones.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 from bramleycrank.proto import log_pb2
 from bramleycrank.transport.peer_client import PeerClients
 
-# A queue that holds more than a few heartbeats only delays newer messages.
+# A longer queue would only delay newer messages.
 QUEUE_LIMIT = 64
 
-# A message that waited for an election timeout is of no use to its recipient.
+# A message that was queued for longer than an election timeout is useless to its recipient.
 MAX_AGE_S = 1.0
 
-# Below the shortest election timeout (0.6 s), so that a connection that went silent is replaced
-# before the peer calls an election.
+# Below the shortest election timeout (0.6 s), so that a silent connection is replaced
+# before the peer starts an election.
 SEND_TIMEOUT_S = 0.4
 
-# With one message at a time, a round trip above the heartbeat of 150 ms would fill the queue. Calls
-# on one connection keep their order, except that a small message may pass a large snapshot.
-IN_FLIGHT = 4
+# With one call at a time, a round trip longer than the heartbeat interval (150 ms) would fill the
+# queue. Calls on one connection stay in order, except that a small message may overtake a large
+# snapshot.
+MAX_IN_FLIGHT = 4
 
-# Large snapshots get more time; the slowest link that a snapshot must pass, in bytes a second.
-MIN_RATE = 2_000_000
+# Extends the timeout of large messages; throughput of the slowest supported link.
+MIN_BYTES_PER_S = 2_000_000
 
 
-class AddressBook(Protocol):
-    """Finds the address of a node."""
+class AddressLookup(Protocol):
+    """Looks up the address of a node."""
 
     def __call__(self, node_id: str) -> str | None:
         """Return ``host:port``, or None if the node is unknown."""
@@ -45,7 +46,7 @@
 
 @attrs.define
 class LinkStats:
-    """Counts of one link."""
+    """Counters of one link."""
 
     sent: int = 0
     failed: int = 0
@@ -55,45 +56,45 @@
 
 
 class ConsensusLink:
-    """Sends the messages for one node in order, a few at a time.
+    """Sends messages to one node in order, with a few calls in flight.
 
     Parameters
     ----------
     node_id : str
         Recipient.
-    address_of : AddressBook
-        Asked for each message, because a node may come back under another address.
+    address_of : AddressLookup
+        Called for each message, because a restarted node may have another address.
     clients : PeerClients
-        Connections that only consensus messages use.
+        Connections that carry only consensus messages.
     """
 
-    def __init__(self, node_id: str, address_of: AddressBook, clients: PeerClients) -> None:
+    def __init__(self, node_id: str, address_of: AddressLookup, clients: PeerClients) -> None:
         self._node_id = node_id
         self._address_of = address_of
         self._clients = clients
         self._queue: collections.deque[tuple[float, log_pb2.ConsensusMessage]] = collections.deque()
-        self._wake = asyncio.Event()
+        self._message_queued = asyncio.Event()
         self._address: str | None = None
         self.stats = LinkStats()
-        self._slots = asyncio.Semaphore(IN_FLIGHT)
-        self._sends: set[asyncio.Task] = set()
+        self._slots = asyncio.Semaphore(MAX_IN_FLIGHT)
+        self._send_tasks: set[asyncio.Task] = set()
         self._task = asyncio.ensure_future(self._run())
 
     def put(self, message: log_pb2.ConsensusMessage) -> None:
-        """Queue a message; the oldest one is dropped when the queue is full."""
+        """Queue a message, and drop the oldest one if the queue is full."""
         if len(self._queue) >= QUEUE_LIMIT:
             self._queue.popleft()
             self.stats.dropped += 1
         self._queue.append((asyncio.get_running_loop().time(), message))
-        self._wake.set()
+        self._message_queued.set()
 
     def close(self) -> None:
-        """End all sending."""
-        for task in (self._task, *self._sends):
+        """Cancel all sends, queued or in flight."""
+        for task in (self._task, *self._send_tasks):
             task.cancel()
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return the state of the link in JSON form."""
+        """Return the JSON-ready state of the link."""
         last_ok = self.stats.last_ok
         return {
             "address": self._address,
@@ -110,19 +111,19 @@
         while True:
             await self._slots.acquire()
             while not self._queue:
-                self._wake.clear()
-                await self._wake.wait()
+                self._message_queued.clear()
+                await self._message_queued.wait()
             queued_at, message = self._queue.popleft()
             if loop.time() - queued_at > MAX_AGE_S:
                 self.stats.dropped += 1
                 self._slots.release()
                 continue
             task = asyncio.ensure_future(self._send(message))
-            self._sends.add(task)
+            self._send_tasks.add(task)
             task.add_done_callback(self._on_sent)
 
     def _on_sent(self, task: asyncio.Task) -> None:
-        self._sends.discard(task)
+        self._send_tasks.discard(task)
         self._slots.release()
 
     async def _send(self, message: log_pb2.ConsensusMessage) -> None:
@@ -130,7 +131,7 @@
         if self._address is None:
             self.stats.last_error = "address unknown"
             return
-        timeout_s = SEND_TIMEOUT_S + message.ByteSize() / MIN_RATE
+        timeout_s = SEND_TIMEOUT_S + message.ByteSize() / MIN_BYTES_PER_S
         try:
             await self._clients.stub(self._address).Consensus(message, timeout=timeout_s)
         except Exception as exc:
@@ -143,19 +144,19 @@
 
 
 class ConsensusLinks:
-    """All links of a node.
+    """The links of this node to its peers.
 
     Parameters
     ----------
-    address_of : AddressBook
-        Finds the address of a node.
+    address_of : AddressLookup
+        Looks up the address of a node.
     traffic : Traffic, optional
         Counts the messages.
     """
 
-    def __init__(self, address_of: AddressBook, traffic: Traffic | None = None) -> None:
+    def __init__(self, address_of: AddressLookup, traffic: Traffic | None = None) -> None:
         self._address_of = address_of
-        # A large snapshot or a burst of other calls must not delay heartbeats.
+        # Separate connections, so that a burst of other calls does not delay heartbeats.
         self._clients = PeerClients(traffic)
         self._links: dict[str, ConsensusLink] = {}
 
@@ -167,7 +168,7 @@
         link.put(message)
 
     def keep_only(self, wanted: Callable[[str], bool]) -> None:
-        """Close the links to nodes that are no longer wanted."""
+        """Close the links to all nodes for which `wanted` returns false."""
         for node_id in [node_id for node_id in self._links if not wanted(node_id)]:
             self._links.pop(node_id).close()
 
@@ -177,7 +178,7 @@
         self._clients.close()
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return the state of all links in JSON form."""
+        """Return the JSON-ready state of all links."""
         return {node_id: link.dump(now) for node_id, link in sorted(self._links.items())}
 
     def _new_link(self, node_id: str) -> ConsensusLink:
--- a/bramleycrank/transport/grpc_errors.py
+++ b/bramleycrank/transport/grpc_errors.py
@@ -1,7 +1,7 @@
 """Typed errors across remote procedure calls.
 
-A server sends the code, the outcome and the retry time of a `BramleycrankError` as trailers beside
-the gRPC status, and a client raises the same type again. Service methods use `unary` or
+A server sends the code, the outcome and the retry-after of a `BramleycrankError` as trailers along
+with the gRPC status, and the client raises the same error type. Service methods use `unary` or
 `typed_errors`; clients use `call` or `decode_error`.
 """
 
@@ -36,7 +36,7 @@
 
 CODE_TRAILER = "bramleycrank-code"
 OUTCOME_TRAILER = "bramleycrank-outcome"
-RETRY_TRAILER = "bramleycrank-retry-after-ms"
+RETRY_AFTER_TRAILER = "bramleycrank-retry-after-ms"
 DETAIL_TRAILER = "bramleycrank-detail"
 
 # Trailers share HTTP/2's 64 KiB limit for a header list; percent encoding can triple the length.
@@ -47,8 +47,8 @@
     TimeoutError,
     StreamTerminatedError,
     h2.exceptions.ProtocolError,
-    AssertionError,  # grpclib's answer to a stream that ends within a message
-    AttributeError,  # grpclib's answer to the use of a connection that it has closed
+    AssertionError,  # grpclib raises it if a stream ends within a message
+    AttributeError,  # grpclib raises it if a closed connection is used
 )
 
 _STATUS_BY_HTTP = {
@@ -84,7 +84,7 @@
     trailers = {
         CODE_TRAILER: str(exc.code),
         OUTCOME_TRAILER: str(exc.outcome),
-        RETRY_TRAILER: str(exc.retry_after_ms),
+        RETRY_AFTER_TRAILER: str(exc.retry_after_ms),
     }
     if isinstance(exc, NotLeader) and exc.leader_address:
         trailers[DETAIL_TRAILER] = exc.leader_address
@@ -99,25 +99,25 @@
     Parameters
     ----------
     exc : GRPCError
-        The failure that grpclib reported.
+        The error that grpclib raised.
     trailers : mapping of str to str, optional
         Trailing metadata of the call.
 
     Returns
     -------
     BramleycrankError
-        The error that the far side raised, `PeerUnreachable` if no server answered, or
+        The error that the server raised, `PeerUnreachable` if no server responded, or
         `RemoteError` if the code is missing or unknown.
     """
     trailers = trailers or {}
     message = exc.message or ""
-    cls = error_types().get(_as_int(trailers.get(CODE_TRAILER), -1))
-    outcome = _as_outcome(trailers.get(OUTCOME_TRAILER))
-    retry_after_ms = _as_int(trailers.get(RETRY_TRAILER), 0)
+    cls = error_types().get(_parse_int(trailers.get(CODE_TRAILER), -1))
+    outcome = _parse_outcome(trailers.get(OUTCOME_TRAILER))
+    retry_after_ms = _parse_int(trailers.get(RETRY_AFTER_TRAILER), 0)
     if cls is None:
-        return _untyped(exc, outcome, retry_after_ms)
+        return _untyped_error(exc, outcome, retry_after_ms)
     if cls is BramleycrankError:
-        cls = InternalError  # shares the code of the base class
+        cls = InternalError  # has the same code as the base class
     # Subclasses have their own constructors, so the base constructor sets the common fields.
     error = cls.__new__(cls)
     BramleycrankError.__init__(error, message, outcome=outcome, retry_after_ms=retry_after_ms)
@@ -125,13 +125,13 @@
     if isinstance(error, NotLeader):
         error.leader_address = detail
     if isinstance(error, VersionConflict):
-        error.current_version = _as_int(detail, 0)
+        error.current_version = _parse_int(detail, 0)
     if isinstance(error, InvalidSettings):
         error.problems = message.splitlines()
     return error
 
 
-def _untyped(exc: GRPCError, outcome: Outcome, retry_after_ms: int) -> BramleycrankError:
+def _untyped_error(exc: GRPCError, outcome: Outcome, retry_after_ms: int) -> BramleycrankError:
     if exc.status in (Status.UNAVAILABLE, Status.DEADLINE_EXCEEDED):
         return PeerUnreachable(exc.message or exc.status.name, outcome=outcome)
     if exc.status is Status.UNIMPLEMENTED:
@@ -140,19 +140,19 @@
     return RemoteError(text, outcome=outcome, retry_after_ms=retry_after_ms)
 
 
-def _as_int(value: str | None, default: int) -> int:
+def _parse_int(value: str | None, default: int) -> int:
     try:
         return int(value) if value is not None else default
     except ValueError:
         return default
 
 
-def _as_outcome(value: str | None) -> Outcome:
+def _parse_outcome(value: str | None) -> Outcome:
     return Outcome.NOT_RUN if value == str(Outcome.NOT_RUN) else Outcome.UNKNOWN
 
 
 async def send_error(stream: ServerStream, exc: BramleycrankError) -> None:
-    """End a call with a typed error; does nothing if the caller is gone.
+    """End a call with a typed error; does nothing if the caller disconnected.
 
     Parameters
     ----------
@@ -168,7 +168,7 @@
             metadata=encode_error(exc),
         )
     except (h2.exceptions.ProtocolError, StreamTerminatedError, ConnectionError):
-        log.debug("transport: caller left before its error was sent")
+        log.debug("transport: the caller disconnected before its error was sent")
 
 
 def typed_errors(
@@ -229,7 +229,7 @@
 
 
 async def call(method: UnaryUnaryMethod, request: Any, *, timeout_s: float) -> Any:
-    """Make a unary call and raise the far side's errors with their type.
+    """Make a unary call and raise the errors of the server with their type.
 
     Parameters
     ----------
@@ -248,7 +248,7 @@
     Raises
     ------
     BramleycrankError
-        The error of the far side, or `PeerUnreachable` if there was no answer; its outcome is
+        The error of the server, or `PeerUnreachable` if there was no reply; its outcome is
         ``not_run`` if the request was never written to a connection.
     """
     stream = method.open(timeout=max(timeout_s, 0.001))
@@ -274,7 +274,7 @@
     """Return the trailing metadata of a failed call, or an empty mapping.
 
     grpclib does not set `trailing_metadata` when a reset follows the trailers in one packet, so the
-    raw trailers are read in that case.
+    raw trailers are used in that case.
     """
     if stream.trailing_metadata:
         return stream.trailing_metadata
--- a/bramleycrank/transport/http1/__init__.py
+++ b/bramleycrank/transport/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on plain asyncio transports with a C parser, for the paths of forwarded requests."""
+"""HTTP/1.1 on plain asyncio transports with a C parser, for requests that this VM forwards."""
 
 from bramleycrank.transport.http1.client import ConnectionListener, TargetConnection
 from bramleycrank.transport.http1.intake import IntakeBudget
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -18,62 +18,61 @@
 log = logging.getLogger(__name__)
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""Largest body that is taken from a target."""
+"""Largest body of a response."""
 
 MAX_FRAMING_BYTES = 64 * 1024
-"""Largest head, trailers and interim responses of one response; heads of servers stay below it."""
+"""Most bytes of head, trailers and interim responses; servers do not send larger heads."""
 
 MAX_HEADERS = 256
-"""Headers of one response; a short one takes many times its bytes in memory."""
+"""Most headers of one response; a short header takes many times its size in memory."""
 
-IDLE_SHARE = 0.8
-"""Part of the target's stated idle time after which a connection is not used again."""
+IDLE_TIMEOUT_SHARE = 0.8
+"""Part of the target's keep-alive timeout after which a connection is not reused."""
 
-RECEIVE_BYTES = 64 * 1024
-"""Most bytes taken from a connection at once; an answer of a shard has a few hundred."""
+RECEIVE_BUFFER_BYTES = 64 * 1024
+"""Most bytes read from a connection at once; the reply of a shard has a few hundred."""
 
-_received = bytearray(RECEIVE_BYTES)
-"""Where all connections receive: what arrives is parsed before the next one is read."""
+_receive_buffer = bytearray(RECEIVE_BUFFER_BYTES)
+"""Buffer of all connections; received data is parsed before the next read."""
 
-_TIMEOUT = re.compile(rb"timeout=(\d+)")
+_TIMEOUT_PATTERN = re.compile(rb"timeout=(\d+)")
 
-_refusals = RequestLog(log, time.monotonic)
+_rejection_log = RequestLog(log, time.monotonic)
 
 
 class ConnectionListener(Protocol):
-    """Hears what happens on a connection."""
+    """Receives the events of a connection."""
 
     def on_connected(self, conn: TargetConnection) -> None:
-        """Take note that requests can be sent."""
+        """Handle the opened connection; requests can be sent from now on."""
 
     def on_response(self, conn: TargetConnection, response: Response) -> None:
-        """Take the whole response to the request in progress."""
+        """Handle the complete response to the request in progress."""
 
     def on_broken(self, conn: TargetConnection, *, garbled: bool) -> None:
-        """Take note that the request in progress gets no whole response.
+        """Handle a failure of the request in progress, which gets no complete response.
 
         Parameters
         ----------
         conn : TargetConnection
             The connection; it is closed.
         garbled : bool
-            Whether the target sent bytes that are no response.
+            Whether the target sent an invalid response.
         """
 
     def on_closed(self, conn: TargetConnection) -> None:
-        """Take note that the connection is closed; comes once, after `on_broken` if that comes."""
+        """Handle the closed connection; called once, after `on_broken` if that is called."""
 
 
 class TargetConnection(asyncio.BufferedProtocol):
     """A connection to a target.
 
-    Bytes that arrive while no request is in progress belong to no request: the connection is closed
-    and they are dropped.
+    Data that arrives while no request is in progress is discarded, and the connection is closed.
 
     Parameters
     ----------
     listener : ConnectionListener
-        Hears of responses and of the end.
+        Receives the events of the connection.
     intake : IntakeBudget
         Memory for unfinished responses, shared with other connections.
     """
@@ -90,7 +89,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None
-        self._head = False
+        self._is_head_request = False
         self._reset()
 
     def _reset(self) -> None:
@@ -98,9 +97,9 @@
         self._fields: dict[bytes, bytes] = {}
         self._body = bytearray()
         self._meter.restart()
-        self._head_done = False
-        self._until_eof = False
-        self._done = False
+        self._head_complete = False
+        self._body_until_eof = False
+        self._response_complete = False
         self._garbled = False
         self._keep_alive = False
 
@@ -117,21 +116,21 @@
     def send(self, data: bytes, *, head: bool = False) -> None:
         """Send a request; the connection must be connected and not busy."""
         self._reset()
-        self._head = head
+        self._is_head_request = head
         self._parser = httptools.HttpResponseParser(self)
         self.requests += 1
         self._transport.write(data)
 
     def close(self) -> None:
-        """Close at once; the listener hears only `on_closed`."""
-        self._end_request()
+        """Close at once; only `on_closed` of the listener is called."""
+        self._clear_request()
         if self._transport is not None and not self.closed:
             self._transport.abort()
 
     # Events of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Handle the opened connection."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -139,104 +138,104 @@
         self._listener.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Return where to put bytes of the target."""
-        return _received
+        """Return the buffer that received data is written to."""
+        return _receive_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse bytes of the target."""
+        """Parse received data."""
         if self._parser is None:
             self._transport.abort()
             return
         self._meter.received += nbytes
         try:
-            self._parser.feed_data(memoryview(_received)[:nbytes])
+            self._parser.feed_data(memoryview(_receive_buffer)[:nbytes])
         except httptools.HttpParserUpgrade:
             self._garbled = True
         except httptools.HttpParserError:
-            # Bytes behind a whole response end the connection, but the response stands.
+            # Data after a complete response closes the connection, but the response is valid.
             self._garbled = True
         if len(self._headers) > MAX_HEADERS:
-            self._refuse("a response has too many headers", MAX_HEADERS)
-        elif self._done:
-            self._finish()
+            self._reject_response("a response has too many headers", MAX_HEADERS)
+        elif self._response_complete:
+            self._complete_response()
         elif self._garbled:
-            self._break(garbled=True)
+            self._fail_request(garbled=True)
         elif self._meter.exceeded:
-            self._refuse("the head of a response is too large", MAX_FRAMING_BYTES)
+            self._reject_response("the head of a response is too large", MAX_FRAMING_BYTES)
         elif self._meter.body > MAX_RESPONSE_BYTES:
-            self._refuse("the body of a response is too large", MAX_RESPONSE_BYTES)
+            self._reject_response("the body of a response is too large", MAX_RESPONSE_BYTES)
         else:
-            for conn in self._intake.take(self, nbytes):
-                conn.give_up()
+            for conn in self._intake.add(self, nbytes):
+                conn.abort_request()
 
     def eof_received(self) -> bool:
-        """End a response without a length."""
-        if self._parser is not None and self._until_eof and self._head_done:
-            self._garbled = True  # the connection cannot be used again
-            self._finish()
+        """Complete a response whose body ends with the connection."""
+        if self._parser is not None and self._body_until_eof and self._head_complete:
+            self._garbled = True  # the connection cannot be reused
+            self._complete_response()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end."""
+        """Report the closed connection to the listener."""
         if self.closed:
             return
         self.closed = True
         if self._parser is not None:
-            self._end_request()
+            self._clear_request()
             self._listener.on_broken(self, garbled=False)
         self._listener.on_closed(self)
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Note a second response behind the first, which belongs to no request."""
-        if self._done:
+        """Detect a second response after the first one; it belongs to no request."""
+        if self._response_complete:
             self._garbled = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
-        if not self._done and len(self._headers) <= MAX_HEADERS:
+        """Store a header."""
+        if not self._response_complete and len(self._headers) <= MAX_HEADERS:
             self._headers.append((name, value or b""))
 
     def on_headers_complete(self) -> None:
-        """Find out where the body ends."""
-        if self._done:
+        """Determine how the end of the body is marked."""
+        if self._response_complete:
             return
         status = self._parser.get_status_code()
         if status < 200:
             return
-        self._head_done = True
+        self._head_complete = True
         fields = self._fields = fields_of(self._headers)
-        if self._head:
-            self._done = self._garbled = True
+        if self._is_head_request:
+            self._response_complete = self._garbled = True
             return
         sized = b"content-length" in fields or b"transfer-encoding" in fields
         bodiless = status in (204, 304)
-        self._until_eof = not (sized or bodiless)
+        self._body_until_eof = not (sized or bodiless)
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if not self._done:
+        """Store a part of the body."""
+        if not self._response_complete:
             self._body += body
             self._meter.body += len(body)
 
     def on_message_complete(self) -> None:
-        """End the response; an interim one is passed over."""
-        if self._done:
+        """Complete the response; an interim one is ignored."""
+        if self._response_complete:
             return
-        if self._head_done:
-            self._done = True
+        if self._head_complete:
+            self._response_complete = True
             self._keep_alive = self._parser.should_keep_alive()
         else:
             self._headers = []
 
-    # The end of a response.
+    # End of a response.
 
-    def _finish(self) -> None:
-        parser = self._end_request()
+    def _complete_response(self) -> None:
+        parser = self._clear_request()
         body, self._body = bytes(self._body), bytearray()
         response = Response(parser.get_status_code(), self._headers, body, self._fields)
-        # A request of which a part is still unsent would be followed by the next one's bytes.
+        # If a part of the request is unsent, the next request would follow it on the connection.
         unsent = self._transport.get_write_buffer_size() > 0
         if self._garbled or unsent or not self._keep_alive:
             self._transport.abort()
@@ -246,16 +245,16 @@
         self._listener.on_response(self, response)
 
     def _idle_limit(self) -> float | None:
-        stated = self._fields.get(b"keep-alive")
-        match = _TIMEOUT.search(stated) if stated else None
-        return self._loop.time() + IDLE_SHARE * int(match[1]) if match else None
+        keep_alive = self._fields.get(b"keep-alive")
+        match = _TIMEOUT_PATTERN.search(keep_alive) if keep_alive else None
+        return self._loop.time() + IDLE_TIMEOUT_SHARE * int(match[1]) if match else None
 
-    def give_up(self) -> None:
-        """End the request in progress, because the memory for responses is used up."""
-        self._refuse("the memory for responses is used up", self._intake.limit_bytes)
+    def abort_request(self) -> None:
+        """Fail the request in progress, because the memory for responses is used up."""
+        self._reject_response("the memory for responses is used up", self._intake.limit_bytes)
 
-    def _refuse(self, reason: str, bound: int) -> None:
-        _refusals.note(
+    def _reject_response(self, reason: str, bound: int) -> None:
+        _rejection_log.note(
             reason,
             b"",
             time.monotonic(),
@@ -266,16 +265,16 @@
             headers=len(self._headers),
             bound=bound,
         )
-        self._break(garbled=True)
+        self._fail_request(garbled=True)
 
-    def _end_request(self) -> httptools.HttpResponseParser | None:
-        """Forget the request in progress; return its parser."""
+    def _clear_request(self) -> httptools.HttpResponseParser | None:
+        """Clear the request in progress and return its parser."""
         parser, self._parser = self._parser, None
         self._intake.release(self)
         return parser
 
-    def _break(self, *, garbled: bool) -> None:
-        self._end_request()
+    def _fail_request(self, *, garbled: bool) -> None:
+        self._clear_request()
         self._transport.abort()
         self._body = bytearray()
         self._listener.on_broken(self, garbled=garbled)
--- a/bramleycrank/transport/http1/intake.py
+++ b/bramleycrank/transport/http1/intake.py
@@ -1,4 +1,4 @@
-"""Bounds for bytes of peers: for the framing of one message, and for all messages together."""
+"""Limits on received bytes: on the framing of one message, and on all messages together."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 import attrs
 
 CHUNK_FRAMING = 8
-"""Bytes of framing for each byte of a body; a chunk of one byte has five, and some room."""
+"""Most framing bytes for each byte of a body; a chunk of one byte has at least five."""
 
 DEFAULT_INTAKE_BYTES = 32 * 1024 * 1024
-"""Bytes of unfinished messages that a VM holds if its memory limit is unknown."""
+"""Memory for incomplete messages of a VM whose memory limit is unknown."""
 
 MEMORY_SHARE = 1 / 8
-"""Part of a VM's memory for unfinished messages; joining and passing on copy them up to twice."""
+"""Part of a VM's memory for incomplete messages; parsing and forwarding copy them up to twice."""
 
 
 @attrs.define
 class MessageMeter:
-    """Counts the bytes of one message as they come, before they are parsed.
+    """Counts the bytes of one message as they arrive, before they are parsed.
 
-    Whatever is not body counts as framing: the start line, headers, trailers, interim responses,
-    sizes and extensions of chunks. A peer can send each of them without end.
+    Everything except the body counts as framing: the start line, headers, trailers, interim
+    responses, chunk sizes and chunk extensions. A peer can make each of them endless.
 
     Parameters
     ----------
     framing_bytes : int
-        Bound for the framing of a message without a body.
+        Limit for the framing of a message without a body.
     """
 
     framing_bytes: int
@@ -34,17 +34,17 @@
     body: int = 0
 
     def restart(self) -> None:
-        """Count a new message."""
+        """Reset the counts for a new message."""
         self.received = self.body = 0
 
     @property
     def framing(self) -> int:
-        """Bytes of the message that are no body."""
+        """Bytes of the message outside its body."""
         return self.received - self.body
 
     @property
     def exceeded(self) -> bool:
-        """Whether the framing is larger than the body explains."""
+        """Whether the framing exceeds its limit, which grows with the body."""
         return self.framing > self.framing_bytes + CHUNK_FRAMING * self.body
 
 
@@ -52,15 +52,15 @@
 
 
 class IntakeBudget(Generic[Holder]):
-    """Shares the memory for unfinished messages among the connections that receive them.
+    """Shares the memory for incomplete messages among the connections that receive them.
 
-    Load pattern: some peers send without end while others send sound messages. The connection that
-    holds most is given up first, so one within an equal share of the bound is never refused.
+    Load pattern: some peers send endless messages while others send valid ones. The connection that
+    uses the most memory is evicted first, so one within an equal share of the limit never is.
 
     Parameters
     ----------
     limit_bytes : int
-        Bound for what all connections hold together.
+        Limit for the bytes of all connections together.
     """
 
     def __init__(self, limit_bytes: int = DEFAULT_INTAKE_BYTES) -> None:
@@ -70,24 +70,24 @@
 
     @classmethod
     def from_memory(cls, memory_bytes: int) -> IntakeBudget[Holder]:
-        """Return the budget of a VM with a memory limit; 0 if the limit is unknown."""
+        """Return the budget for a memory limit of the VM in bytes; 0 means unknown."""
         return cls(int(memory_bytes * MEMORY_SHARE) or DEFAULT_INTAKE_BYTES)
 
-    def take(self, holder: Holder, count: int) -> list[Holder]:
-        """Add received bytes; return the holders that have to be given up, each one released."""
+    def add(self, holder: Holder, count: int) -> list[Holder]:
+        """Add received bytes; return the evicted holders, whose bytes are already released."""
         self._held[holder] = self._held.get(holder, 0) + count
         self.held_bytes += count
-        given_up = []
+        evicted = []
         while self.held_bytes > self.limit_bytes:
             largest = max(self._held, key=self._held.__getitem__)
             self.release(largest)
-            given_up.append(largest)
-        return given_up
+            evicted.append(largest)
+        return evicted
 
     def release(self, holder: Holder, count: int | None = None) -> None:
-        """Take back some of a holder's bytes, or all; one that was given up holds none."""
+        """Release some of a holder's bytes, or all by default; an evicted holder has none."""
         held = self._held.pop(holder, 0)
-        left = 0 if count is None else max(0, held - count)
-        self.held_bytes -= held - left
-        if left:
-            self._held[holder] = left
+        remaining = 0 if count is None else max(0, held - count)
+        self.held_bytes -= held - remaining
+        if remaining:
+            self._held[holder] = remaining
--- a/bramleycrank/transport/http1/messages.py
+++ b/bramleycrank/transport/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses, and which of their headers travel on."""
+"""Requests and responses, and which of their headers are forwarded."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only; the length is written anew with each body."""
+"""Headers that apply to one connection only; Content-Length is set when a body is written."""
 
 _REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
@@ -40,35 +40,35 @@
 
 
 def size_of(headers: Headers) -> int:
-    """Return the bytes of headers without their separators."""
+    """Return the size of headers in bytes, without their separators."""
     return sum(len(name) + len(value) for name, value in headers)
 
 
 def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that travel on: without those of the connection and `dropped` ones."""
-    named = find_header(headers, b"connection")
+    """Return the headers to forward: all but hop-by-hop headers and those in `dropped`."""
+    connection_header = find_header(headers, b"connection")
     skip = HOP_BY_HOP | dropped
-    if named is not None:
-        skip |= {name.strip().lower() for name in named.split(b",")}
+    if connection_header is not None:
+        skip |= {name.strip().lower() for name in connection_header.split(b",")}
     return [item for item in headers if item[0].lower() not in skip]
 
 
 @attrs.frozen(eq=False)
 class Request:
-    """A whole request.
+    """A complete request.
 
     Parameters
     ----------
     method : bytes
         Method in capitals.
     target : bytes
-        Path and query as they came.
+        Path and query as received.
     host : bytes
         Value of the Host header.
     headers : list of (bytes, bytes)
-        All headers in order, with their names as they came.
+        All headers in order, with their names as received.
     body : bytes
-        Whole body, decoded from chunks.
+        Complete body, with the chunked encoding removed.
     """
 
     method: bytes
@@ -85,18 +85,18 @@
 
 @attrs.frozen(eq=False)
 class Response:
-    """A whole response of a target.
+    """A complete response of a target.
 
     Parameters
     ----------
     status : int
         HTTP status.
     headers : list of (bytes, bytes)
-        All headers in order, with their names as they came.
+        All headers in order, with their names as received.
     body : bytes
-        Whole body.
+        Complete body.
     fields : dict
-        Values by name in lower case; the last one of a name that comes twice.
+        Values by name in lower case; the last value of a repeated name.
     """
 
     status: int
@@ -113,14 +113,14 @@
 
 
 class RequestTemplate:
-    """A request of which copies that differ in a few headers are sent.
+    """A request that is sent in several copies, which differ only in a few headers.
 
     Parameters
     ----------
     request : Request
-        The request as it came.
+        The request as received.
     headers : list of (bytes, bytes)
-        Headers that all copies have.
+        Headers of all copies.
     """
 
     def __init__(self, request: Request, headers: Headers) -> None:
@@ -132,7 +132,7 @@
         self._end = b"\r\n\r\n" + request.body
 
     def encode(self, headers: Headers) -> bytes:
-        """Return the bytes of a copy with further headers."""
+        """Return the bytes of a copy with these additional headers."""
         return self._start + b"".join(b"\r\n%b: %b" % item for item in headers) + self._end
 
 
@@ -146,11 +146,11 @@
     status : int
         HTTP status.
     headers : iterable of (bytes, bytes)
-        Headers besides those of the connection.
+        Headers except Content-Length and Connection.
     body : bytes
-        Whole body.
+        Complete body.
     close : bool
-        Whether the connection ends after it.
+        Whether the connection is closed after the response.
     head : bool
         Whether the request was HEAD, whose response has no body.
     """
--- a/bramleycrank/transport/http1/server.py
+++ b/bramleycrank/transport/http1/server.py
@@ -1,4 +1,4 @@
-"""Server side: listens on one address, and applies time limits to its connections."""
+"""Server side: listens on one address and applies timeouts to its connections."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 0.25
-"""Time between two checks of the time limits of all connections, in seconds."""
+TIMEOUT_CHECK_S = 0.25
+"""Interval between two timeout checks of all connections, in seconds."""
 
 
 class Http1Server:
@@ -25,7 +25,7 @@
     Parameters
     ----------
     handler : Handler
-        Answers the requests.
+        Handles the requests.
     limits : callable
         Returns the limits in force.
     intake : IntakeBudget, optional
@@ -53,10 +53,10 @@
         self._server = await loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=backlog
         )
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+        self._timer = loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
 
     def stop_listening(self) -> None:
-        """Accept no more connections, and close those without a request."""
+        """Stop accepting connections, and close those without a request."""
         self.draining = True
         if self._server is not None:
             self._server.close()
@@ -65,11 +65,11 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any connection has a request or an unwritten response."""
+        """Whether any connection has a request or unsent response data."""
         return any(connection.busy for connection in self.connections)
 
     def close(self) -> None:
-        """Cut what is left."""
+        """Stop listening and abort all connections."""
         self.stop_listening()
         if self._timer is not None:
             self._timer.cancel()
@@ -81,9 +81,9 @@
         busy = sum(connection.busy for connection in self.connections)
         return {"connections": len(self.connections), "busy": busy, "draining": self.draining}
 
-    def _sweep(self) -> None:
+    def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         for connection in list(self.connections):
-            connection.sweep(now)
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+            connection.check_timeouts(now)
+        self._timer = loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: reads requests within limits and writes whole responses."""
+"""One connection of a caller: reads requests within limits and writes complete responses."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 log = logging.getLogger(__name__)
 
 MAX_PIPELINED = 8
-"""Requests that may wait behind the one in progress before the connection is read no further."""
+"""Most requests that wait behind the one in progress; a longer queue pauses reading."""
 
-FRAMING_HEADS = 2
-"""Largest framing of a request, in heads: trailers may be as large as the head."""
+MAX_FRAMING_FACTOR = 2
+"""Largest framing as a multiple of the head limit; trailers may be as large as the head."""
 
-BUSY_RETRY_S = 1
-"""When a caller should come back to a VM whose memory for requests is used up, in seconds."""
+MEMORY_RETRY_AFTER_S = 1
+"""Retry-after of a request that is refused for lack of memory, in seconds."""
 
 WRITE_STALL_S = 10.0
 """Time after which a caller that does not read its response is disconnected, in seconds."""
 
 
 class Handler(Protocol):
-    """Answers requests."""
+    """Handles requests."""
 
     def on_request(self, exchange: Exchange) -> None:
-        """Take a request; `Exchange.respond` is called once, at any time."""
+        """Handle a request; must call `Exchange.respond` once, now or later."""
 
 
 class Server(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """Server state that its connections use."""
 
     handler: Handler
     limits: Callable[[], Limits]
@@ -51,18 +51,18 @@
 
 
 class Exchange:
-    """A request and the way to answer it.
+    """A request that a response can be written to.
 
     Parameters
     ----------
     request : Request
         The request.
     connection : ServerConnection
-        The connection that it came on.
+        The connection that received it.
     arrived : float
-        Time of the loop at which the request was complete, in seconds.
+        Event loop time at which the request was complete, in seconds.
     size : int
-        Bytes of head and body.
+        Size of head and body in bytes.
     """
 
     __slots__ = ("_connection", "arrived", "on_gone", "request", "size")
@@ -78,7 +78,7 @@
 
     @property
     def gone(self) -> bool:
-        """Whether the caller closed the connection."""
+        """Whether the caller disconnected."""
         return self._connection.closed
 
     @property
@@ -87,7 +87,7 @@
         return self._connection.round_trip_s
 
     def respond(self, status: int, headers: Headers, body: bytes, *, close: bool = False) -> None:
-        """Write the response; one for a caller that went away is dropped."""
+        """Write the response; does nothing if the caller disconnected."""
         self.on_gone = None
         self._connection.respond(self, status, headers, body, close)
 
@@ -95,8 +95,8 @@
 class ServerConnection(asyncio.Protocol):
     """One connection of a caller.
 
-    Requests on it are answered one after the other. The length of a body is never taken from two
-    sources: the parser refuses requests with several lengths, or with a length and chunks.
+    Its requests are handled one after the other. The length of a body is never ambiguous, because
+    the parser rejects requests with several lengths, or with a length and chunked encoding.
 
     Parameters
     ----------
@@ -114,15 +114,16 @@
         self._current: Exchange | None = None
         self._keep_alive = True
         self._meter = MessageMeter(0)
-        self._completed = False  # a request ended among the bytes that are being parsed
-        self._ending = False  # a response with "Connection: close" was written or is due
-        self._problem: tuple[int, str] | None = None
-        self._begin()
-        self._started: float | None = None  # first byte of a request that is not complete
+        self._completed = False  # the data being parsed contains the end of a request
+        self._closing = False  # a response with "Connection: close" was written or is due
+        self._error: tuple[int, str] | None = None
+        self._start_request()
+        # Arrival of the first byte of an incomplete request.
+        self._request_started_at: float | None = None
         self._idle_since = self._loop.time()
         self._stalled_since: float | None = None
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         self._url = b""
         self._headers: Headers = []
         self._head_bytes = 0
@@ -133,109 +134,109 @@
     # Events of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Handle the opened connection."""
         self._transport = transport
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what is in progress."""
-        self._gone()
+        """Cancel the request in progress."""
+        self._on_disconnect()
 
     def eof_received(self) -> bool:
-        """Take the end of the caller's bytes for its leaving; callers send none in the middle."""
+        """Treat EOF as a disconnect, because callers do not half-close connections."""
         return False
 
     def pause_writing(self) -> None:
-        """Note that the caller does not read."""
+        """Start the write timeout: the caller does not read its response."""
         self._stalled_since = self._loop.time()
 
     def resume_writing(self) -> None:
-        """Note that the caller reads again."""
+        """Stop the write timeout: the caller reads again."""
         self._stalled_since = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the caller."""
-        if self._ending or self._problem:
-            return  # What follows the last request of a connection is not read.
-        if self._started is None:
-            self._started = self._loop.time()
+        """Parse received data."""
+        if self._closing or self._error:
+            return  # Data after the last request of a connection is ignored.
+        if self._request_started_at is None:
+            self._request_started_at = self._loop.time()
         self._completed = False
         self._meter.received += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail(400, "protocol upgrades are not supported")
+            self._set_error(400, "protocol upgrades are not supported")
         except httptools.HttpParserError as exc:
-            if self._problem is None:
-                self._fail(400, f"malformed request: {exc}")
-        self._check_framing()
-        self._end_after_problem()
+            if self._error is None:
+                self._set_error(400, f"malformed request: {exc}")
+        self._check_framing_size()
+        self._respond_error()
 
-    def _check_framing(self) -> None:
+    def _check_framing_size(self) -> None:
         header_bytes = self._server.limits().header_bytes
         if self._completed:
-            self._meter.restart()  # which of the bytes belong to the next request is unknown
-        self._meter.framing_bytes = FRAMING_HEADS * header_bytes
+            self._meter.restart()  # how much of the data belongs to the next request is unknown
+        self._meter.framing_bytes = MAX_FRAMING_FACTOR * header_bytes
         if self._meter.exceeded or (not self._in_body and self._head_bytes > header_bytes):
-            self._fail(431, "the head, the trailers or the chunk sizes are too large")
+            self._set_error(431, "the head, the trailers or the chunk sizes are too large")
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         """Start a new request."""
-        self._begin()
-        self._started = self._loop.time()
+        self._start_request()
+        self._request_started_at = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target."""
+        """Store a part of the request target."""
         self._url += url
         self._head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers are read past."""
+        """Store a header; trailers are ignored."""
         if self._in_body:
             return
         self._headers.append((name, value or b""))
         self._head_bytes += len(name) + len(value or b"") + 4
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the size of the head and the announced length of the body."""
         self._in_body = True
         limits = self._server.limits()
         if self._head_bytes > limits.header_bytes:
-            self._fail(431, "the head of the request is too large")
+            self._set_error(431, "the head of the request is too large")
             return
-        self._hold(self._head_bytes)
+        self._reserve_memory(self._head_bytes)
         lengths = [value for name, value in self._headers if name.lower() == b"content-length"]
         if lengths and lengths[0].isdigit() and int(lengths[0]) > limits.body_bytes:
-            self._fail(413, "the body is too large")
+            self._set_error(413, "the body is too large")
             return
         expects = any(name.lower() == b"expect" for name, _ in self._headers)
         if expects and self._current is None and not self._waiting:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if self._problem is not None:
+        """Store a part of the body."""
+        if self._error is not None:
             return
         self._body_bytes += len(body)
         if self._body_bytes > self._server.limits().body_bytes:
-            self._fail(413, "the body is too large")
+            self._set_error(413, "the body is too large")
         else:
             self._meter.body += len(body)
             self._body.append(body)
-            self._hold(len(body))
+            self._reserve_memory(len(body))
 
     def on_message_complete(self) -> None:
         """Queue the request."""
-        if self._problem is not None or self._ending:
+        if self._error is not None or self._closing:
             return
-        self._started = None
+        self._request_started_at = None
         self._completed = True
         hosts = [value for name, value in self._headers if name.lower() == b"host"]
         target, host = _split_target(self._url, hosts[0] if hosts else b"")
         if len(hosts) > 1 or not host:
-            self._fail(400, "exactly one Host header is needed")
+            self._set_error(400, "exactly one Host header is needed")
             return
         request = Request(
             self._parser.get_method(), target, host, self._headers, b"".join(self._body)
@@ -245,21 +246,21 @@
         self._waiting.append((Exchange(request, self, self._loop.time(), size), keep_alive))
         if len(self._waiting) > MAX_PIPELINED:
             self._transport.pause_reading()
-        self._next()
+        self._handle_next()
 
-    def _hold(self, count: int) -> None:
-        for conn in self._server.intake.take(self, count):
-            conn.give_up()
+    def _reserve_memory(self, count: int) -> None:
+        for conn in self._server.intake.add(self, count):
+            conn.abort_request()
 
-    def give_up(self) -> None:
-        """Refuse the request that is being read, because the memory for requests is used up."""
-        self._fail(503, "the memory for requests is used up")
+    def abort_request(self) -> None:
+        """Refuse the request being read, because the memory for requests is used up."""
+        self._set_error(503, "the memory for requests is used up")
         self._body = []
-        self._loop.call_soon(self._end_after_problem)
+        self._loop.call_soon(self._respond_error)
 
     # Requests and responses.
 
-    def _next(self) -> None:
+    def _handle_next(self) -> None:
         if self._current is not None or not self._waiting or self.closed:
             return
         self._current, self._keep_alive = self._waiting.popleft()
@@ -286,24 +287,24 @@
         self._write(encode_response(status, headers, body, close=close, head=head))
         self._idle_since = self._loop.time()
         if close:
-            self._end()
+            self._close_after_write()
         elif self._waiting:
-            # Not at once: a handler that answers immediately would otherwise nest calls.
-            self._loop.call_soon(self._next)
+            # Deferred, because a handler that responds immediately would cause recursion.
+            self._loop.call_soon(self._handle_next)
         else:
-            self._end_after_problem()
+            self._respond_error()
 
-    def _fail(self, status: int, reason: str) -> None:
-        if self._problem is None:
-            self._problem = (status, reason)
+    def _set_error(self, status: int, reason: str) -> None:
+        if self._error is None:
+            self._error = (status, reason)
 
-    def _end_after_problem(self) -> None:
-        """Answer a request that cannot be read, after those before it."""
-        if self._problem is None or self._current is not None or self._waiting or self.closed:
+    def _respond_error(self) -> None:
+        """Write the error response for an invalid request, after all earlier responses."""
+        if self._error is None or self._current is not None or self._waiting or self.closed:
             return
-        if self._ending:
+        if self._closing:
             return
-        status, reason = self._problem
+        status, reason = self._error
         now = self._loop.time()
         self._server.refusals.note(
             reason,
@@ -318,22 +319,22 @@
         )
         headers = [(b"Content-Type", b"text/plain")]
         if status == 503:
-            headers.append((b"Retry-After", b"%d" % BUSY_RETRY_S))
+            headers.append((b"Retry-After", b"%d" % MEMORY_RETRY_AFTER_S))
         self._write(encode_response(status, headers, reason.encode(), close=True, head=False))
-        self._end()
+        self._close_after_write()
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
-    def _end(self) -> None:
-        self._ending = True
+    def _close_after_write(self) -> None:
+        self._closing = True
         self._server.intake.release(self)
         self._waiting.clear()
         if self._transport is not None:
             self._transport.close()
 
-    def _gone(self) -> None:
+    def _on_disconnect(self) -> None:
         if self.closed:
             return
         self.closed = True
@@ -350,42 +351,44 @@
         sock = self._transport.get_extra_info("socket") if self._transport else None
         return None if sock is None or self.closed else round_trip_of(sock)
 
-    # Time limits and shutdown.
+    # Timeouts and shutdown.
 
     @property
     def busy(self) -> bool:
-        """Whether a request is read, waits or is in progress, or a response is being written."""
+        """Whether there is a request, complete or not, or unsent response data."""
         writing = self._transport is not None and self._transport.get_write_buffer_size() > 0
-        return bool(self._current or self._waiting or self._started is not None or writing)
+        return bool(
+            self._current or self._waiting or self._request_started_at is not None or writing
+        )
 
-    def sweep(self, now: float) -> None:
-        """Apply the time limits."""
+    def check_timeouts(self, now: float) -> None:
+        """Apply the timeouts."""
         limits = self._server.limits()
         if self._stalled_since is not None and now - self._stalled_since > WRITE_STALL_S:
             self._transport.abort()
-        elif self._current is not None or self._waiting or self._ending:
+        elif self._current is not None or self._waiting or self._closing:
             return
-        elif self._started is not None:
+        elif self._request_started_at is not None:
             limit_s = limits.idle_timeout_s if self._in_body else limits.header_timeout_s
-            if now - self._started > limit_s:
-                self._fail(408, "the request did not arrive in time")
-                self._end_after_problem()
+            if now - self._request_started_at > limit_s:
+                self._set_error(408, "the request did not arrive in time")
+                self._respond_error()
         elif now - self._idle_since > limits.idle_timeout_s:
             self._transport.close()
 
     def close_if_idle(self) -> None:
-        """Close the connection if no request is on it."""
+        """Close the connection unless it is busy."""
         if not self.busy and self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def _split_target(url: bytes, host: bytes) -> tuple[bytes, bytes]:
-    """Return path with query, and host; a target in absolute form names its own host."""
+    """Return the path with query, and the host; a target in absolute form includes the host."""
     if url.startswith(b"/"):
         return url, host
     scheme, _, rest = url.partition(b"://")
--- a/bramleycrank/transport/http_api.py
+++ b/bramleycrank/transport/http_api.py
@@ -35,9 +35,9 @@
 """Largest body in bytes."""
 
 MAX_DISCARDED = 1024 * 1024
-"""Bytes of a too large body that are read and discarded so that the caller sees the answer.
+"""Bytes of an oversized body that are read, so that the caller receives the response.
 
-Closing a connection with unread data resets it, and the answer may be lost.
+Closing a connection with unread data resets it, and the response may be lost.
 """
 
 IDLE_TIMEOUT_S = 70.0
@@ -45,48 +45,48 @@
 
 
 class Executor(Protocol):
-    """Executes requests; the query controller in the daemon."""
+    """Executes requests; implemented by the query controller."""
 
     async def execute(self, req: QueryRequest) -> Answer:
-        """Return the answer; raises `BramleycrankError`."""
+        """Return the answer, or raise a `BramleycrankError`."""
 
 
 class LimitedRequest(Request):
-    """Bounds the memory and the time that a body can take while it is read."""
+    """A request whose body is limited in size while it is read."""
 
     _received = 0
     _refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - Twisted's name
-        """Prepare for the body; refuse at once what is far above the limit."""
-        # Twisted would parse forms by itself and answer malformed ones without a typed error.
+        """Prepare for the body; reject one that is far above the limit at once."""
+        # Otherwise Twisted parses forms, and responds to malformed ones without a typed error.
         self.requestHeaders.removeHeader(b"content-type")
         super().gotLength(min(length, MAX_BODY) if length is not None else None)
         if length is not None and length > MAX_DISCARDED:
-            self._refuse(_too_large())
+            self._refuse(_body_too_large())
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Keep a part of the body up to the limit, discard more, then give up."""
+        """Store the body up to `MAX_BODY`, discard the rest, and reject it at `MAX_DISCARDED`."""
         self._received += len(data)
         if self._received <= MAX_BODY:
             super().handleContentChunk(data)
         elif self._received > MAX_DISCARDED:
-            self._refuse(_too_large())
+            self._refuse(_body_too_large())
 
     def requestReceived(  # noqa: N802 - Twisted's name
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Pass on a request whose body and path are acceptable."""
+        """Process a request whose body and path are valid."""
         if self._received > MAX_BODY:
-            self._refuse(_too_large())
-        elif not _is_text(path):
+            self._refuse(_body_too_large())
+        elif not _is_utf8(path):
             problem = InvalidRequest("The path is not valid text.", outcome=Outcome.NOT_RUN)
             self._refuse(problem)
         if not self._refused:
             super().requestReceived(command, path, version)
 
     def _refuse(self, error: BramleycrankError) -> None:
-        """Answer at once and close; what still arrives is ignored."""
+        """Write an error response and close the connection; further data is ignored."""
         if self._refused or self.channel is None:
             return
         self._refused = True
@@ -100,11 +100,11 @@
         self.channel.loseConnection()
 
 
-def _too_large() -> BramleycrankError:
+def _body_too_large() -> BramleycrankError:
     return BodyTooLarge(f"The body is larger than {MAX_BODY} bytes.")
 
 
-def _is_text(path: bytes) -> bool:
+def _is_utf8(path: bytes) -> bool:
     try:
         unquote_to_bytes(path).decode()
     except UnicodeDecodeError:
@@ -131,8 +131,8 @@
     return _write_json(request, {"error": error.as_dict()}, error.http_status)
 
 
-def _end_connection(request: IRequest) -> None:
-    """Let the connection end with this answer, so that its caller moves to another VM."""
+def _close_after_response(request: IRequest) -> None:
+    """Close the connection after this response, so that its caller moves to another VM."""
     request.setHeader(b"connection", b"close")
     channel = getattr(request, "channel", None)
     if channel is not None:
@@ -144,7 +144,7 @@
 
 
 class ApiChannel(HTTPChannel):
-    """A connection that its site knows while it is open."""
+    """A connection that is registered with its site while it is open."""
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         """Add the connection to the site."""
@@ -158,7 +158,7 @@
 
 
 class ApiSite(Site):
-    """The factory of the connections."""
+    """Creates the connections and keeps track of the open ones."""
 
     protocol = ApiChannel
     displayTracebacks = False  # noqa: N815 - Twisted's name
@@ -169,12 +169,12 @@
 
     @property
     def flushing(self) -> int:
-        """Number of connections that end but still have to send a part of their answer."""
+        """Number of closing connections that still have unsent response data."""
         return sum(bool(channel.transport.disconnecting) for channel in self.channels)
 
 
 class HttpApi:
-    """The klein application.
+    """Klein application that serves queries, health checks and dumps.
 
     Parameters
     ----------
@@ -192,11 +192,11 @@
         self, executor: Executor, readyz: Callable[[], str], dump: Callable[[], dict[str, Any]]
     ) -> None:
         self._executor = executor
-        self._readyz = readyz
+        self._not_ready_reason = readyz
         self._dump = dump
 
     def site(self, reactor: Any = None) -> ApiSite:
-        """Return the factory to listen with; it limits bodies while it reads them."""
+        """Return the protocol factory, which limits bodies while they are read."""
         return ApiSite(
             self.app.resource(),
             requestFactory=LimitedRequest,
@@ -218,23 +218,23 @@
         except BramleycrankError as exc:
             return _write_error(request, exc)
         except asyncio.CancelledError:
-            return None  # the caller has gone; there is nobody to answer
+            return None  # the caller disconnected
         except Exception:
             log.exception("http: a request failed unexpectedly")
             return _write_error(request, InternalError())
         finally:
-            if self._readyz():
-                _end_connection(request)
+            if self._not_ready_reason():
+                _close_after_response(request)
 
     @app.route("/healthz", methods=["GET"])
     def health(self, request: IRequest) -> bytes:
-        """Answer as long as the process serves HTTP."""
+        """Report that the process serves HTTP."""
         return _write_json(request, {"status": "ok"})
 
     @app.route("/readyz", methods=["GET"])
     def ready(self, request: IRequest) -> bytes:
-        """Tell the load balancer whether to send requests here."""
-        reason = self._readyz()
+        """Report to the load balancer whether this VM accepts requests."""
+        reason = self._not_ready_reason()
         if reason:
             return _write_json(request, {"status": "not ready", "reason": reason}, 503)
         return _write_json(request, {"status": "ready"})
@@ -246,7 +246,7 @@
 
     @app.handle_errors(HTTPException)
     def routing_error(self, request: IRequest, failure: Failure) -> bytes:
-        """Answer an unknown path or method."""
+        """Respond to an unknown path or method."""
         status = failure.value.code or 404
         if status == 404:
             return _write_error(request, NotFound("No such path.", outcome=Outcome.NOT_RUN))
@@ -257,6 +257,6 @@
 
     @app.handle_errors(Exception)
     def unexpected(self, request: IRequest, failure: Failure) -> bytes:
-        """Answer a failure inside the interface."""
+        """Respond to an unexpected exception in a handler."""
         log.error("http: a request failed unexpectedly: %s", failure.getTraceback())
         return _write_error(request, InternalError())
--- a/bramleycrank/transport/operator_service.py
+++ b/bramleycrank/transport/operator_service.py
@@ -1,4 +1,4 @@
-"""The `Operator` service: calls of the command-line tool."""
+"""The `Operator` service: handles the calls of the command-line tool."""
 
 from __future__ import annotations
 
@@ -33,36 +33,37 @@
 MEMBER_TIMEOUT_S = 30.0
 DUMP_TIMEOUT_S = 5.0
 
-# A VM that does not answer within this time is shown as unreachable.
+# A VM that does not reply within this time is shown as unreachable.
 STATUS_TIMEOUT_S = 1.0
 
-# Pause between attempts while no leader is known, in seconds.
+# Delay between attempts while no leader is known.
 RETRY_PAUSE_S = 0.1
 
-# How often a forwarded change of members looks for another leader, in seconds.
+# Interval at which a forwarded membership change checks for another leader.
 LEADER_CHECK_S = 0.5
 
-# A drain has no version of its own to compare; races with other changes of the VM are few.
+# A drain request carries no version, so a conflict with another change of the VM is retried;
+# conflicts are rare.
 DRAIN_ATTEMPTS = 5
 
 
 class Directory(Protocol):
-    """What the service needs to know of VMs and targets; the membership controller."""
+    """Known VMs and targets; implemented by the membership controller."""
 
     def all_vms(self) -> Sequence[peer_pb2.VmRecord]:
-        """Return the records of all known VMs, this one and those that are gone included."""
+        """Return the records of all known VMs, including this one and those that left or died."""
 
     def all_targets(self) -> Sequence[target_pb2.TargetRecord]:
         """Return the records of all targets."""
 
 
-def reply_of(result: log_pb2.CommandResult) -> operator_pb2.ChangeReply:
-    """Return the answer to a committed change.
+def change_reply(result: log_pb2.CommandResult) -> operator_pb2.ChangeReply:
+    """Return the reply to a committed change.
 
     Raises
     ------
     VersionConflict, NotFound, InvalidChange
-        The change was committed and refused by the replicated state.
+        The change was committed, but the replicated state rejected it.
     """
     match result.code:
         case log_pb2.RESULT_CODE_OK:
@@ -77,27 +78,27 @@
 
 
 class OperatorService(OperatorBase):
-    """Serves operators on every VM; changes go to the leader.
+    """Serves operators on every VM; forwards changes to the leader.
 
     Parameters
     ----------
     config : ConfigController
         The configuration in force.
     consensus : ConsensusController
-        This VM's part in the replicated log.
+        Replicated log of this VM.
     directory : Directory
         Known VMs and targets.
     voters : VoterChanges
-        Changes of the voting VMs.
+        Adds, removes and replaces voters.
     clients : PeerClients
         Connections to other VMs.
     dump : callable
-        Returns the state of this VM in JSON form.
+        Returns the JSON-ready state of this VM.
 
     Attributes
     ----------
     in_flight : int
-        Changes that are not answered yet.
+        Number of changes without a reply yet.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
         self._voters = voters
         self._clients = clients
         self._dump = dump
-        self._own = consensus.identity
+        self._identity = consensus.identity
         self.in_flight = 0
 
     # Configuration.
@@ -140,7 +141,7 @@
     async def ApplyChange(  # noqa: N802
         self, request: operator_pb2.ChangeRequest
     ) -> operator_pb2.ChangeReply:
-        """Commit a change; a resend of a change id gets the first answer."""
+        """Commit a change; a repeated change id gets the reply of the first call."""
         check_known_fields(request, "request")
         check_change(request.change)
         timeout_s = request.timeout_ms / 1000 or CHANGE_TIMEOUT_S
@@ -150,15 +151,15 @@
     async def DrainVm(  # noqa: N802
         self, request: operator_pb2.DrainRequest
     ) -> operator_pb2.ChangeReply:
-        """Commit that a VM is to be drained, or no longer.
+        """Commit that a VM is drained, or that its drain ends.
 
-        Each attempt has a change id of its own that follows from the operator's, so a resend
-        gets the answers of the first call in the same order.
+        The change id of each attempt is derived from that of the operator, so a repeated call gets
+        the same results in the same order.
         """
         check_name(request.vm_id, "vm_id")
         check_name(request.change_id, "change_id")
         current = self._config.vm(request.vm_id)
-        if current is None and request.vm_id not in self._records():
+        if current is None and request.vm_id not in self._vm_records():
             raise NotFound(f"no VM is named {request.vm_id!r}")
         version = current.version if current else 0
         for attempt in range(DRAIN_ATTEMPTS):
@@ -173,18 +174,18 @@
 
     async def _commit(self, change: log_pb2.Change, timeout_s: float) -> operator_pb2.ChangeReply:
         command = log_pb2.Command(change=change)
-        with self._counted():
+        with self._count_in_flight():
             try:
                 result = await self._consensus.propose(command, timeout_s)
             except BramleycrankError as exc:
-                # An earlier call with the same change id may have been committed.
+                # The change of an earlier call with the same id may have been committed.
                 exc.outcome = Outcome.UNKNOWN
                 raise
-        return reply_of(result)
+        return change_reply(result)
 
     @contextlib.contextmanager
-    def _counted(self) -> Iterator[None]:
-        """Count a change, so that a graceful stop can wait for it."""
+    def _count_in_flight(self) -> Iterator[None]:
+        """Count a change as in flight, so that a graceful shutdown can wait for it."""
         self.in_flight += 1
         try:
             yield
@@ -197,7 +198,7 @@
     async def Status(  # noqa: N802
         self, request: operator_pb2.StatusRequest
     ) -> operator_pb2.StatusReply:
-        """Return which revision is in force on which VM."""
+        """Return the state of each VM, with the revision in force on it."""
         reply = operator_pb2.StatusReply(
             leader_revision=self._config.status().leader_revision,
             leader_vm=self._consensus.leader_vm(),
@@ -205,44 +206,44 @@
             membership=self._consensus.membership,
         )
         if not request.local:
-            await self._collect(reply)
+            await self._add_remote_statuses(reply)
         return reply
 
-    async def _collect(self, reply: operator_pb2.StatusReply) -> None:
-        """Add what the other VMs say; the leader knows the members best."""
-        others = [r for vm_id, r in self._records().items() if vm_id != self._own.vm_id]
-        answers = await asyncio.gather(*(self._status_of(record) for record in others))
-        for record, answer in zip(others, answers, strict=True):
+    async def _add_remote_statuses(self, reply: operator_pb2.StatusReply) -> None:
+        """Add the status of all other VMs; the membership of the leader takes precedence."""
+        others = [r for vm_id, r in self._vm_records().items() if vm_id != self._identity.vm_id]
+        replies = await asyncio.gather(*(self._fetch_status(record) for record in others))
+        for record, vm_reply in zip(others, replies, strict=True):
             status = reply.vms.add(record=record)
-            if answer is None or not answer.vms:
+            if vm_reply is None or not vm_reply.vms:
                 continue
-            status.CopyFrom(answer.vms[0])
+            status.CopyFrom(vm_reply.vms[0])
             status.reachable = True
             status.record.CopyFrom(record)
-            reply.leader_revision = max(reply.leader_revision, answer.leader_revision)
-            if answer.membership.members and (
+            reply.leader_revision = max(reply.leader_revision, vm_reply.leader_revision)
+            if vm_reply.membership.members and (
                 status.role == "leader" or not reply.membership.members
             ):
-                reply.membership.CopyFrom(answer.membership)
+                reply.membership.CopyFrom(vm_reply.membership)
         leaders = [status.record.vm_id for status in reply.vms if status.role == "leader"]
         reply.leader_vm = leaders[0] if len(leaders) == 1 else reply.leader_vm
 
-    async def _status_of(self, record: peer_pb2.VmRecord) -> operator_pb2.StatusReply | None:
+    async def _fetch_status(self, record: peer_pb2.VmRecord) -> operator_pb2.StatusReply | None:
         if record.state == peer_pb2.VM_STATE_LEFT:
             return None
         stub = self._clients.operator_stub(format_address(record.host, record.port))
         try:
             request = operator_pb2.StatusRequest(local=True)
-            answer = await stub.Status(request, timeout=STATUS_TIMEOUT_S)
+            vm_reply = await stub.Status(request, timeout=STATUS_TIMEOUT_S)
         except BramleycrankError:
             return None
-        # Another VM may have taken the address.
-        same = any(status.record.vm_id == record.vm_id for status in answer.vms)
-        return answer if same else None
+        # Another VM may use the address now.
+        same = any(status.record.vm_id == record.vm_id for status in vm_reply.vms)
+        return vm_reply if same else None
 
     def _own_status(self) -> operator_pb2.VmStatus:
         return operator_pb2.VmStatus(
-            record=self._records().get(self._own.vm_id),
+            record=self._vm_records().get(self._identity.vm_id),
             reachable=True,
             revision=self._config.revision,
             stale_ms=self._config.stale_ms(),
@@ -250,8 +251,8 @@
             role=self._consensus.role,
         )
 
-    def _records(self) -> dict[str, peer_pb2.VmRecord]:
-        """Return all VMs that gossip or the log knows; gossip forgets VMs that are long dead."""
+    def _vm_records(self) -> dict[str, peer_pb2.VmRecord]:
+        """Return the VMs known from gossip or the log; gossip drops long-dead VMs."""
         records = {record.vm_id: record for record in self._directory.all_vms()}
         membership = self._consensus.membership
         for member in membership.members if membership else ():
@@ -268,7 +269,7 @@
     async def ListTargets(  # noqa: N802
         self, request: operator_pb2.ListTargetsRequest
     ) -> operator_pb2.ListTargetsReply:
-        """Return the targets that this VM knows."""
+        """Return the targets known to this VM."""
         records = self._directory.all_targets()
         wanted = [r for r in records if request.service in ("", r.service)]
         return operator_pb2.ListTargetsReply(targets=wanted)
@@ -276,21 +277,21 @@
     @unary
     async def Dump(self, request: operator_pb2.DumpRequest) -> operator_pb2.DumpReply:  # noqa: N802
         """Return the state of this VM or of another one."""
-        if request.vm_id in ("", self._own.vm_id):
+        if request.vm_id in ("", self._identity.vm_id):
             return operator_pb2.DumpReply(json=json.dumps(self._dump(), default=str))
-        record = self._records().get(request.vm_id)
+        record = self._vm_records().get(request.vm_id)
         if record is None:
             raise NotFound(f"no VM is named {request.vm_id!r}")
         stub = self._clients.operator_stub(format_address(record.host, record.port))
         return await stub.Dump(request, timeout=DUMP_TIMEOUT_S)
 
-    # Voting VMs.
+    # Voters.
 
     @unary
     async def Bootstrap(  # noqa: N802
         self, request: operator_pb2.BootstrapRequest
     ) -> operator_pb2.MembershipReply:
-        """Form a cluster of VMs with empty data folders."""
+        """Form a cluster from VMs with empty data directories."""
         membership = await self._voters.bootstrap(list(request.addresses))
         return operator_pb2.MembershipReply(membership=membership)
 
@@ -299,8 +300,8 @@
         self, request: operator_pb2.MemberRequest
     ) -> operator_pb2.MembershipReply:
         """Add a voter."""
-        return await self._on_leader(
-            "AddVoter", request, lambda left: self._voters.add(request.address, left)
+        return await self._run_on_leader(
+            "AddVoter", request, lambda remaining_s: self._voters.add(request.address, remaining_s)
         )
 
     @unary
@@ -308,47 +309,49 @@
         self, request: operator_pb2.MemberRequest
     ) -> operator_pb2.MembershipReply:
         """Remove a voter or learner."""
-        return await self._on_leader(
-            "RemoveVoter", request, lambda left: self._voters.remove(request.node_id, left)
+        return await self._run_on_leader(
+            "RemoveVoter",
+            request,
+            lambda remaining_s: self._voters.remove(request.node_id, remaining_s),
         )
 
     @unary
     async def ReplaceVoter(  # noqa: N802
         self, request: operator_pb2.MemberRequest
     ) -> operator_pb2.MembershipReply:
-        """Add a voter, and remove another one once the first is promoted."""
-        return await self._on_leader(
+        """Add a voter, and remove another one after the first is promoted."""
+        return await self._run_on_leader(
             "ReplaceVoter",
             request,
-            lambda left: self._voters.replace(request.address, request.node_id, left),
+            lambda remaining_s: self._voters.replace(request.address, request.node_id, remaining_s),
         )
 
-    async def _on_leader(
+    async def _run_on_leader(
         self,
         method: str,
         request: operator_pb2.MemberRequest,
         local: Callable[[float], Awaitable[log_pb2.Membership]],
     ) -> operator_pb2.MembershipReply:
-        """Run a change of members on the leader, and again elsewhere if the leader changes."""
+        """Run a membership change on the leader; retry it if the leader changes."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + (request.timeout_ms / 1000 or MEMBER_TIMEOUT_S)
         error: BramleycrankError = NoQuorum("no leader is known")
         outcome = Outcome.NOT_RUN
-        while (left := deadline - loop.time()) > 0:
+        while (remaining_s := deadline - loop.time()) > 0:
             try:
-                with self._counted():
-                    return await self._once(method, request, local, left)
+                with self._count_in_flight():
+                    return await self._attempt(method, request, local, remaining_s)
             except BramleycrankError as exc:
-                # An earlier attempt may have run, whatever the last one says.
+                # An earlier attempt may have run, even if the last one did not.
                 if exc.outcome is Outcome.UNKNOWN:
                     outcome = Outcome.UNKNOWN
                 error, exc.outcome = exc, outcome
                 if request.forwarded or not isinstance(exc, NotLeader | NoQuorum):
                     raise
-            await asyncio.sleep(min(RETRY_PAUSE_S, left))
+            await asyncio.sleep(min(RETRY_PAUSE_S, remaining_s))
         raise error
 
-    async def _once(
+    async def _attempt(
         self,
         method: str,
         request: operator_pb2.MemberRequest,
@@ -363,7 +366,7 @@
         self, method: str, request: operator_pb2.MemberRequest, timeout_s: float
     ) -> operator_pb2.MembershipReply:
         address = self._consensus.leader_address()
-        if address in ("", self._own.address):
+        if address in ("", self._identity.address):
             raise NoQuorum("no leader is known", outcome=Outcome.NOT_RUN)
         forwarded = operator_pb2.MemberRequest(
             address=request.address,
@@ -375,12 +378,12 @@
         call = asyncio.ensure_future(getattr(stub, method)(forwarded, timeout=timeout_s))
         try:
             while not (await asyncio.wait([call], timeout=LEADER_CHECK_S))[0]:
-                # A frozen leader would use up the whole time; a change may be sent again.
+                # An unresponsive leader would use up the timeout; the change is safe to retry.
                 if self._consensus.leader_address() not in ("", address):
-                    raise NoQuorum("the leader changed before it answered")
+                    raise NoQuorum("the leader changed before it replied")
             return await call
         except PeerUnreachable as exc:
-            text = f"the leader does not answer: {exc}"
+            text = f"the leader does not reply: {exc}"
             raise NoQuorum(text, outcome=exc.outcome) from exc
         finally:
             call.cancel()
--- a/bramleycrank/transport/peer_client.py
+++ b/bramleycrank/transport/peer_client.py
@@ -17,12 +17,12 @@
 DEFAULT_TIMEOUT_S = 5.0
 
 PURPOSES = {"Consensus": "log", "FetchConfig": "tables", "Sync": "exchanges"}
-"""What the methods of the `Peer` service are counted for, unless the caller says."""
+"""Default traffic purpose of each method of the `Peer` service."""
 
 
 @attrs.define(eq=False)
 class _Link:
-    """A channel with the calls that use it."""
+    """A channel and the number of calls in flight on it."""
 
     channel: Channel
     in_flight: int = 0
@@ -56,9 +56,9 @@
 class PeerClients:
     """One grpclib channel for each peer address, with reconnects and typed errors.
 
-    grpclib reconnects by itself after a connection was closed. A connection that went silent is
-    replaced here: when a call gets no answer in time and no data arrived since it was sent, the
-    next call opens a new connection, and the old one is closed when its last call ends.
+    grpclib reconnects after a connection was closed, but does not detect silent connections. This
+    class replaces them: if a call times out and no data arrived after it began, the next call opens
+    a new connection, and the old one is closed when its last call ends.
 
     Parameters
     ----------
@@ -104,7 +104,7 @@
         stub_type : type, optional
             Generated stub class that has the method.
         purpose : str, optional
-            What the call is counted for; that of the method by default.
+            Traffic purpose under which the call is counted; by default that of the method.
 
         Returns
         -------
@@ -114,7 +114,7 @@
         Raises
         ------
         BramleycrankError
-            The error of the far side, or `PeerUnreachable`.
+            The error of the peer, or `PeerUnreachable`.
         """
         if self._closed:
             raise PeerUnreachable("the client is closed", outcome=Outcome.NOT_RUN)
@@ -135,13 +135,13 @@
         finally:
             link.in_flight -= 1
             self.traffic.note_call(purpose or PURPOSES.get(method, "other"), address, size)
-            self._close_if_unused(link)
+            self._close_if_retired_and_idle(link)
 
     def _link(self, address: str) -> _Link:
         link = self._links.get(address)
         if link is None:
             host, _, port = address.rpartition(":")
-            # IPv6 numbers stand in brackets in an address, and without them in a socket call.
+            # IPv6 addresses have brackets in ``host:port``, but not in a socket call.
             link = self._links[address] = _Link(Channel(host.strip("[]"), int(port)))
             self.traffic.note("connect", self.traffic.is_far(address), CONNECT_BYTES)
         return link
@@ -151,33 +151,33 @@
         if self._links.get(address) is link:
             del self._links[address]
 
-    def _close_if_unused(self, link: _Link) -> None:
-        # A channel that is closed while it connects would keep the new connection, so a retired
-        # channel is closed only after its last call.
+    def _close_if_retired_and_idle(self, link: _Link) -> None:
+        # grpclib would leak the connection of a channel that is closed while it connects, so a
+        # retired channel is closed only after its last call.
         if link.in_flight == 0 and (link.retired or self._closed):
             link.channel.close()
 
     def forget(self, address: str) -> None:
-        """Close the channel of a peer that has left, once its calls have ended."""
+        """Close the channel of a peer that left, as soon as its calls have ended."""
         link = self._links.get(address)
         if link is not None:
             self._retire(address, link)
-            self._close_if_unused(link)
+            self._close_if_retired_and_idle(link)
 
     def close(self) -> None:
-        """Close all channels; calls in flight end with `PeerUnreachable`."""
+        """Close all channels; calls in flight fail with `PeerUnreachable`."""
         self._closed = True
         for link in self._links.values():
             link.channel.close()
         self._links.clear()
 
     def dump(self) -> dict[str, Any]:
-        """Return the calls in flight by address."""
+        """Return the number of calls in flight by address."""
         return {address: link.in_flight for address, link in self._links.items()}
 
 
 def _silent_since(channel: Channel, started: float) -> bool:
-    """Tell whether no data arrived on the channel's connection since a time."""
+    """Return whether no data arrived on the channel's connection since `started`."""
     protocol = channel._protocol
     if protocol is None:
         return False
--- a/bramleycrank/transport/peer_service.py
+++ b/bramleycrank/transport/peer_service.py
@@ -1,4 +1,4 @@
-"""The `Peer` service: calls of other VMs."""
+"""The `Peer` service: handles the calls of other VMs."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class Gossip(Protocol):
-    """Answers probes and anti-entropy exchanges; the membership controller."""
+    """Handles probes and anti-entropy exchanges; implemented by the membership controller."""
 
     async def on_probe(self, request: peer_pb2.ProbeRequest) -> peer_pb2.ProbeReply:
-        """Answer a probe."""
+        """Return the reply to a probe."""
 
     async def on_sync(self, request: peer_pb2.SyncRequest) -> peer_pb2.SyncReply:
-        """Answer one round of an exchange."""
+        """Return the reply to one round of an exchange."""
 
 
 class Admission(Protocol):
     """Admits VMs to the replicated log."""
 
     async def on_join(self, identity: peer_pb2.IdentityReply) -> None:
-        """Take a VM's wish to become a member."""
+        """Handle a VM's request to become a member."""
 
 
 class PeerService(PeerBase):
@@ -39,11 +39,11 @@
     gossip : Gossip
         The membership controller.
     config : ConfigController
-        Serves the configuration.
+        Returns the configuration in force.
     consensus : ConsensusController
-        This VM's part in the replicated log.
+        Replicated log of this VM.
     admission : Admission, optional
-        Admits VMs to the log by themselves; without it only operators do.
+        Admits VMs to the log automatically; without it only operators admit them.
     """
 
     def __init__(
@@ -60,26 +60,26 @@
 
     @unary
     async def Probe(self, request: peer_pb2.ProbeRequest) -> peer_pb2.ProbeReply:  # noqa: N802
-        """Answer a probe, directly or on behalf of another VM."""
+        """Reply to a probe, or probe a third VM on behalf of the sender."""
         return await self._gossip.on_probe(request)
 
     @unary
     async def Sync(self, request: peer_pb2.SyncRequest) -> peer_pb2.SyncReply:  # noqa: N802
-        """Answer one round of an anti-entropy exchange."""
+        """Reply to one round of an anti-entropy exchange."""
         return await self._gossip.on_sync(request)
 
     @unary
     async def FetchConfig(  # noqa: N802
         self, request: peer_pb2.FetchConfigRequest
     ) -> peer_pb2.FetchConfigReply:
-        """Return deltas or the image of the configuration in force."""
+        """Return the deltas to the configuration in force, or its full image."""
         return await self._config.on_fetch(request)
 
     @unary
     async def Propose(self, request: peer_pb2.ProposeRequest) -> peer_pb2.ProposeReply:  # noqa: N802
-        """Commit a command as the leader; it is not forwarded again."""
+        """Commit a command on the leader; a VM that is not the leader does not forward it."""
         if not request.proposal_id:
-            # Entries without an id would resolve it.
+            # An empty id would match the log entries that have none.
             raise InvalidRequest("the proposal has no id", outcome=Outcome.NOT_RUN)
         timeout_s = request.timeout_ms / 1000 or DEFAULT_PROPOSE_TIMEOUT_S
         result = await self._consensus.propose_local(
@@ -89,25 +89,25 @@
 
     @unary
     async def Consensus(self, request: log_pb2.ConsensusMessage) -> peer_pb2.Ack:  # noqa: N802
-        """Take a consensus message; the answer of the core comes as a message of its own."""
+        """Pass a message to the consensus core, which sends its reply as a separate call."""
         self._consensus.on_message(request)
         return peer_pb2.Ack()
 
     @unary
     async def Identity(self, request: peer_pb2.IdentityRequest) -> peer_pb2.IdentityReply:  # noqa: N802
-        """Return who this VM is."""
+        """Return the identity of this VM."""
         return self._consensus.on_identity()
 
     @unary
     async def Bootstrap(self, request: peer_pb2.BootstrapRequest) -> peer_pb2.BootstrapReply:  # noqa: N802
-        """Make this VM a first voter of a new cluster."""
+        """Make this VM one of the first voters of a new cluster."""
         self._consensus.on_bootstrap(request.membership)
         return peer_pb2.BootstrapReply()
 
     @unary
     async def Join(self, request: peer_pb2.JoinRequest) -> peer_pb2.Ack:  # noqa: N802
-        """Take a VM's wish to become a member of the replicated log."""
+        """Handle a VM's request to become a member of the replicated log."""
         if self._admission is None:
-            raise InvalidMembershipChange("only operators change the voters of this system")
+            raise InvalidMembershipChange("automatic admission is off; an operator must add the VM")
         await self._admission.on_join(request.identity)
         return peer_pb2.Ack()
--- a/bramleycrank/transport/registry_service.py
+++ b/bramleycrank/transport/registry_service.py
@@ -14,12 +14,12 @@
 
 
 class RegistryService(RegistryBase):
-    """Takes announcements of targets.
+    """Receives the announcements of targets.
 
     Parameters
     ----------
     membership : MembershipController
-        Owner of the registry.
+        Maintains the registry of targets.
     """
 
     def __init__(self, membership: MembershipController) -> None:
@@ -27,10 +27,10 @@
 
     @unary
     async def Announce(self, request: AnnounceRequest) -> AnnounceReply:  # noqa: N802
-        """Take an announcement or a renewal."""
+        """Register a target or renew its lease."""
         return await self._membership.announce(request)
 
     @unary
     async def Leave(self, request: LeaveRequest) -> LeaveReply:  # noqa: N802
-        """Record that a target leaves."""
+        """Record that a target is leaving."""
         return await self._membership.leave_target(request)
--- a/bramleycrank/transport/target_session.py
+++ b/bramleycrank/transport/target_session.py
@@ -17,10 +17,10 @@
 
 log = logging.getLogger(__name__)
 
-# Id of the ping in the first message; the monitor's pings start at 1 and never get here.
+# Id of the ping in the first message; the ids of the monitor start at 1 and never reach it.
 OPEN_PING = 2**63
 
-# A message ends here, so that a large one does not delay the pings behind it.
+# Limits a message, so that a large one does not delay the pings behind it.
 MAX_MESSAGE_BYTES = 256 * 1024
 
 _STREAM_ERRORS = (
@@ -28,8 +28,8 @@
     StreamTerminatedError,
     GRPCError,
     h2.exceptions.ProtocolError,
-    AssertionError,  # grpclib's answer to a stream that ends within a message
-    AttributeError,  # grpclib's answer to the use of a connection that it has closed
+    AssertionError,  # grpclib raises it if a stream ends within a message
+    AttributeError,  # grpclib raises it if a closed connection is used
 )
 
 
@@ -37,33 +37,33 @@
     """Receives the events of a session."""
 
     def on_open(self, session: TargetSession) -> None:
-        """Note that the target answered the first ping."""
+        """Handle the first message of the target, which opens the session."""
 
     def on_message(self, session: TargetSession, message: SessionReply) -> None:
-        """Take a message of the target."""
+        """Handle a message of the target."""
 
     def on_sent(self, session: TargetSession, requests: list[SubRequest]) -> None:
-        """Note that requests are being written; from now on they may run."""
+        """Handle requests that are about to be written; from now on they may run."""
 
     def on_closed(self, session: TargetSession, unsent: list[SubRequest], *, refused: bool) -> None:
-        """Note the end of the session; `unsent` were never written."""
+        """Handle the end of the session; the requests in `unsent` were never written."""
 
 
 class TargetSession:
-    """A connection to a target, on which everything travels in one bidirectional stream.
+    """A connection to a target that carries one bidirectional stream.
 
-    What is sent in one loop turn goes out in one message; while the target's flow control holds a
-    message up, the following ones are joined. A request counts as sent as soon as grpclib starts to
-    write its message.
+    Requests, cancellations and pings of one event loop iteration are sent in one message. While the
+    target's flow control blocks a message, all later ones are combined. A request counts as sent as
+    soon as grpclib starts to write its message.
 
     Parameters
     ----------
     conn_id : int
-        Id of the connection for the monitor.
+        Id of the connection in the connection monitor.
     host, port
         Address of the target.
     vm_id : str
-        This VM, told to the target in the first message.
+        Id of this VM, sent in the first message.
     events : SessionEvents
         Receiver of the events.
     """
@@ -80,40 +80,40 @@
         self._pending: dict[int, SubRequest] = {}
         self._cancels: list[int] = []
         self._ping = 0
-        self._wake = asyncio.Event()
+        self._has_output = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._refused = False
 
     def start(self, open_timeout_s: float) -> None:
-        """Start to connect; ends with `on_open`, or with `on_closed` after `open_timeout_s`."""
+        """Connect; calls `on_open`, or `on_closed` after a failure or `open_timeout_s`."""
         self._task = asyncio.ensure_future(self._run(open_timeout_s))
-        # A task that is cancelled before its first step never enters its own `finally`.
-        self._task.add_done_callback(self._end)
+        # A `finally` in `_run` would not do: a task cancelled before its first step never runs it.
+        self._task.add_done_callback(self._on_task_done)
 
     def send(self, request: SubRequest) -> None:
         """Send a request with the next message."""
         self._pending[request.sub_id] = request
-        self._wake.set()
+        self._has_output.set()
 
     def cancel(self, sub_id: int) -> None:
-        """Cancel a request; one that is not written yet is dropped."""
+        """Cancel a request; one that is still unsent is dropped."""
         if self._pending.pop(sub_id, None) is None:
             self._cancels.append(sub_id)
-            self._wake.set()
+            self._has_output.set()
 
     def ping(self, ping_id: int) -> None:
         """Send a ping with the next message."""
         self._ping = ping_id
-        self._wake.set()
+        self._has_output.set()
 
     def close(self, *, abort: bool = False) -> None:
-        """Close the connection; `on_closed` follows in a later loop turn.
+        """Close the connection; `on_closed` is called in a later event loop iteration.
 
         Parameters
         ----------
         abort : bool, optional
-            Whether to drop what is still in the socket buffer. A silent connection would hold its
-            descriptor until TCP gives up.
+            Whether to discard unsent data. Otherwise a silent connection would keep its file
+            descriptor until TCP times out.
         """
         if abort and (protocol := self._channel._protocol) is not None:
             protocol.connection._transport.abort()
@@ -127,23 +127,23 @@
 
     async def _run(self, open_timeout_s: float) -> None:
         try:
-            await self._serve(open_timeout_s)
+            await self._run_stream(open_timeout_s)
         except _STREAM_ERRORS as exc:
             if isinstance(exc, GRPCError) and exc.status is Status.RESOURCE_EXHAUSTED:
                 self._refused = True
             log.debug("sessions: connection %d ended: %r", self.conn_id, exc)
         except TimeoutError:
-            log.debug("sessions: connection %d was not answered in time", self.conn_id)
+            log.debug("sessions: connection %d timed out before it was open", self.conn_id)
         except Exception:
             log.exception("sessions: connection %d failed", self.conn_id)
 
-    def _end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.closed = True
         self._channel.close()
         unsent, self._pending = list(self._pending.values()), {}
         self._events.on_closed(self, unsent, refused=self._refused)
 
-    async def _serve(self, open_timeout_s: float) -> None:
+    async def _run_stream(self, open_timeout_s: float) -> None:
         async with asyncio.timeout(open_timeout_s) as limit:
             stream = TargetStub(self._channel).Session.open()
             await stream.__aenter__()
@@ -155,11 +155,11 @@
                 finally:
                     writer.cancel()
             finally:
-                self._reset(stream)
+                self._reset_stream(stream)
 
     @staticmethod
-    def _reset(stream: Stream) -> None:
-        """Drop the stream; `Stream.__aexit__` would wait for trailers of a dead connection."""
+    def _reset_stream(stream: Stream) -> None:
+        """Reset the stream; `Stream.__aexit__` would wait for the trailers of a lost connection."""
         inner = getattr(stream, "_stream", None)
         if inner is not None and inner.closable:
             inner.reset_nowait()
@@ -170,17 +170,19 @@
                 self._deliver(message, limit)
         except StreamTerminatedError:
             self._refused = _is_refusal(stream)
-            await self._read_rest(stream, limit)
+            await self._deliver_buffered(stream, limit)
             raise
 
-    async def _read_rest(self, stream: Stream, limit: asyncio.Timeout) -> None:
+    async def _deliver_buffered(self, stream: Stream, limit: asyncio.Timeout) -> None:
         """Deliver the messages that arrived before the connection was lost.
 
-        grpclib cancels the reader when the connection ends, though replies may still be in its
-        buffer.
+        grpclib cancels the reader when the connection ends, although its buffer may still contain
+        replies.
         """
         inner = stream._stream
-        inner.buffer._ack_callback = lambda size: None  # nothing to acknowledge any more
+        inner.buffer._ack_callback = lambda size: (
+            None
+        )  # the lost connection needs no acknowledgement
         inner.buffer.eof()
         while (message := await recv_message(inner, stream._codec, stream._recv_type)) is not None:
             self._deliver(message, limit)
@@ -195,17 +197,17 @@
     async def _write(self, stream: Stream) -> None:
         try:
             while True:
-                await self._wake.wait()
-                self._wake.clear()
+                await self._has_output.wait()
+                self._has_output.clear()
                 await stream.send_message(self._next_message())
         except StreamTerminatedError:
-            pass  # the reader ends too, after it has delivered what has arrived
+            pass  # the reader ends as well, after it has delivered the buffered messages
         except _STREAM_ERRORS as exc:
-            log.debug("sessions: connection %d cannot be written: %r", self.conn_id, exc)
+            log.debug("sessions: write to connection %d failed: %r", self.conn_id, exc)
             self.close()
 
-    def _take(self) -> list[SubRequest]:
-        """Take the requests of the next message, at least one if there is any."""
+    def _pop_requests(self) -> list[SubRequest]:
+        """Remove and return the requests of the next message, at least one if any are pending."""
         requests = []
         size = 0
         while self._pending and size < MAX_MESSAGE_BYTES:
@@ -214,13 +216,13 @@
             requests.append(request)
             size += request.ByteSize()
         if self._pending:
-            self._wake.set()
+            self._has_output.set()
         return requests
 
     def _next_message(self) -> SessionRequest:
         message = SessionRequest(cancel_sub_ids=self._cancels, ping=self._ping)
         self._cancels, self._ping = [], 0
-        requests = self._take()
+        requests = self._pop_requests()
         if requests:
             message.requests.extend(requests)
             self._events.on_sent(self, requests)
@@ -228,7 +230,7 @@
 
 
 def _is_refusal(stream: Stream) -> bool:
-    """Tell whether a reset stream carried the status for "too many connections"."""
+    """Return whether a reset stream has the status for "too many connections"."""
     inner = stream._stream
     headers = dict(inner.trailers or inner.headers or ())
     return headers.get("grpc-status") == str(Status.RESOURCE_EXHAUSTED.value)
--- a/tests/test_daemon_consensus_links.py
+++ b/tests/test_daemon_consensus_links.py
@@ -92,7 +92,7 @@
         for term in range(10):
             links.send(message("a", term))
         now = asyncio.get_running_loop().time
-        sent = consensus_links.IN_FLIGHT
+        sent = consensus_links.MAX_IN_FLIGHT
         await until(lambda: links.dump(now())["a"]["dropped"] == 10 - sent)
         peers["a"].frozen = False
         links.send(message("a", 99))
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -212,7 +212,7 @@
     for holder, count in steps:
         held[holder] = held.get(holder, 0) + count
         fair = budget.limit_bytes / len(held)
-        for given_up in budget.take(holder, count):
+        for given_up in budget.add(holder, count):
             assert held.pop(given_up) > fair
         assert budget.held_bytes == sum(held.values()) <= budget.limit_bytes
     for holder in held:
