--- a/bramleycrank/platform/__init__.py
+++ b/bramleycrank/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls."""
+"""Adapter to the platform that runs the VMs: its names, formats and calls."""
--- a/bramleycrank/platform/adapter.py
+++ b/bramleycrank/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform's calls, passed on to the product."""
+"""Translates the calls of the platform into calls of the project."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 
 
 class PlatformAdapter:
-    """Answers the platform's calls; implements `HttpAdapter`.
+    """Handles the calls of the platform; implements `HttpAdapter`.
 
     Parameters
     ----------
     control_address : str
-        ``host:port`` at which this VM takes reports; empty if it takes none.
+        ``host:port`` at which this VM receives reports; empty if it receives none.
     """
 
     def __init__(self, control_address: str) -> None:
         self.dialect = PlatformHeaders()
         self._refusals = RequestLog(log, time.monotonic)
-        self._report_answer = json.dumps({"HeartbeatAddr": control_address}).encode()
+        self._report_response = json.dumps({"HeartbeatAddr": control_address}).encode()
 
     def readiness(self, exchange: Exchange, reason: str) -> None:
-        """Answer the load balancer."""
+        """Respond to a readiness check of the load balancer."""
         if exchange.request.path != READY_PATH:
             exchange.respond(404, [], b"")
             return
         exchange.respond(503 if reason else 200, [], reason.encode())
 
     async def control(self, exchange: Exchange, service: ControlService) -> None:
-        """Answer a call of the operator or of a back end."""
+        """Respond to a call of an operator or a target."""
         try:
             body = await self._call(exchange, service)
         except BramleycrankError as exc:
@@ -84,9 +84,9 @@
             case b"GET", path if path == CONFIG_PATH:
                 return (await service.routes()).document
             case b"PUT", path if path.startswith(INSTANCES_PATH):
-                return await self._report(_instance(path), request.body, service)
+                return await self._report(_target_id(path), request.body, service)
             case b"DELETE", path if path.startswith(INSTANCES_PATH):
-                await service.leave(_instance(path), _birth(request.body))
+                await service.leave(_target_id(path), _incarnation(request.body))
                 return b"{}"
         raise NotFound(f"{request.method.decode('latin-1')} {request.path[:100]}")
 
@@ -95,22 +95,23 @@
         try:
             await service.announce(record)
         except InvalidRequest as exc:
-            # A report that arrives late is no fault of its sender, who would send it elsewhere.
+            # A late report is not an error: after one, the target would report to another VM.
             log.info(
-                "control: report changes nothing", extra={"target": target_id, "reason": str(exc)}
+                "control: ignored an outdated report",
+                extra={"target": target_id, "reason": str(exc)},
             )
-        return self._report_answer
+        return self._report_response
 
 
-def _instance(path: str) -> str:
+def _target_id(path: str) -> str:
     target_id = unquote(path.removeprefix(INSTANCES_PATH))
     if not target_id or "/" in target_id:
-        raise NotFound("the path names no instance")
+        raise NotFound("the path has no valid instance id")
     return target_id
 
 
-def _birth(body: bytes) -> int | None:
+def _incarnation(body: bytes) -> int | None:
     if not body.strip():
         return None
     fields = Fields.from_json(body, "leave")
-    return documents.decode_birth(fields) if fields.has("born") else None
+    return documents.decode_incarnation(fields) if fields.has("born") else None
--- a/bramleycrank/platform/documents.py
+++ b/bramleycrank/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, decoded into the project's messages."""
+"""Decodes the documents of the platform into the messages of the project."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         routes=[_route(item) for item in fields.objects("Routes")],
         services=[
             log_pb2.HttpService(
-                # A limit for all callers of one back end together.
+                # Applies to all callers of one target together.
                 name=item.text("Name"),
                 connections=item.count("MaxConnections", 0),
             )
@@ -56,10 +56,10 @@
         host=fields.text("Host"),
         path_prefix=fields.text("PathPrefix"),
         idempotent=kind == IDEMPOTENT,
-        timeout_ms=_whole_ms(fields, "TimeoutMs"),
-        objective_ms=_whole_ms(fields, "TargetLatencyMs", 0),
+        timeout_ms=_rounded_ms(fields, "TimeoutMs"),
+        objective_ms=_rounded_ms(fields, "TargetLatencyMs", 0),
         rank=fields.count("Priority", 0),
-        # Counts the back ends of one service, the first one included.
+        # Includes the first target.
         max_targets=fields.count("MaxAttempts", 1),
         split=split,
         shards=fields.texts("Gather"),
@@ -68,12 +68,12 @@
     )
 
 
-def _whole_ms(fields: Fields, name: str, default: int | None = None) -> int:
+def _rounded_ms(fields: Fields, name: str, default: int | None = None) -> int:
     return min(round(fields.number(name, default)), 2**32 - 1)
 
 
 def decode_report(target_id: str, body: bytes) -> target_pb2.TargetRecord:
-    """Return the record of a liveness report.
+    """Return the target record of a report.
 
     Raises
     ------
@@ -83,14 +83,14 @@
     fields = Fields.from_json(body, "report")
     host, colon, port = fields.text("Address").rpartition(":")
     if not (host and colon and port.isdigit()):
-        raise malformed("report.Address is no address")
+        raise malformed("report.Address is not a valid host:port")
     state = fields.text("State")
     if state not in (READY, DRAINING):
         raise malformed(f"report.State {state!r} is unknown")
     leaving = state == DRAINING
     return target_pb2.TargetRecord(
         target_id=target_id,
-        incarnation=decode_birth(fields),
+        incarnation=decode_incarnation(fields),
         sequence=fields.count("Sequence"),
         state=target_pb2.TARGET_STATE_LEAVING if leaving else target_pb2.TARGET_STATE_SERVING,
         service=fields.text("Service"),
@@ -102,6 +102,6 @@
     )
 
 
-def decode_birth(fields: Fields) -> int:
-    """Return the Unix millisecond of a back end's start, which orders its incarnations."""
+def decode_incarnation(fields: Fields) -> int:
+    """Return the incarnation of a target: its start time in Unix milliseconds."""
     return fields.count("born", 0)
--- a/bramleycrank/platform/fields.py
+++ b/bramleycrank/platform/fields.py
@@ -10,19 +10,19 @@
 
 
 class Fields:
-    """The fields of a JSON object; a missing field or one of another type is an error.
+    """Typed access to a JSON object; a missing field or one of another type is an error.
 
     Parameters
     ----------
     data : object
         What the JSON parser returned.
     where : str
-        Place of the object, for messages.
+        Path of the object, for error messages.
     """
 
     def __init__(self, data: object, where: str) -> None:
         if not isinstance(data, dict):
-            raise malformed(f"{where} is no object")
+            raise malformed(f"{where} is not an object")
         self._data: dict[str, Any] = data
         self._where = where
 
@@ -33,10 +33,10 @@
         Raises
         ------
         MalformedBody
-            It is not one JSON object, or an object in it has a key twice.
+            The body is not a JSON object, or an object has a duplicate key.
         """
         try:
-            return cls(json.loads(body, object_pairs_hook=_unique), where)
+            return cls(json.loads(body, object_pairs_hook=_reject_duplicate_keys), where)
         except (ValueError, RecursionError) as exc:
             raise malformed(f"{where}: {exc}") from exc
 
@@ -45,7 +45,7 @@
         return self._get(name, str, default)
 
     def count(self, name: str, default: int | None = None) -> int:
-        """Return a whole number that is not negative."""
+        """Return a non-negative integer."""
         value = self._get(name, int, default)
         if value < 0 or value >= 2**63:
             raise malformed(f"{self._where}.{name} is out of range")
@@ -55,18 +55,18 @@
         """Return a finite number."""
         value = float(self._get(name, (int, float), default))
         if value - value != 0:
-            raise malformed(f"{self._where}.{name} is not finite")
+            raise malformed(f"{self._where}.{name} must be finite")
         return value
 
     def has(self, name: str) -> bool:
-        """Return whether a field is there and not null."""
+        """Return whether a field is present and not null."""
         return self._data.get(name) is not None
 
     def texts(self, name: str) -> list[str]:
         """Return a list of strings."""
         values = self._get(name, list, [])
         if not all(isinstance(value, str) for value in values):
-            raise malformed(f"{self._where}.{name} must hold strings")
+            raise malformed(f"{self._where}.{name} must contain only strings")
         return values
 
     def objects(self, name: str) -> Iterator[Fields]:
@@ -75,7 +75,7 @@
             yield Fields(value, f"{self._where}.{name}[{position}]")
 
     def object(self, name: str) -> Fields:
-        """Return an object; an empty one if it is missing."""
+        """Return an object, or an empty one if it is missing."""
         return Fields(self._get(name, dict, {}), f"{self._where}.{name}")
 
     def _get(self, name: str, kind: Any, default: Any) -> Any:
@@ -85,21 +85,21 @@
                 raise malformed(f"{self._where}.{name} is missing")
             return default
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-            raise malformed(f"{self._where}.{name} has another type")
+            raise malformed(f"{self._where}.{name} has the wrong type")
         return value
 
     def canonical(self) -> bytes:
-        """Return the object as JSON in a fixed order without spaces."""
+        """Return the object as JSON with sorted keys and without spaces."""
         return json.dumps(self._data, sort_keys=True, separators=(",", ":")).encode()
 
 
 def malformed(message: str) -> MalformedBody:
-    """Return the error of a document that cannot be used; nothing of it ran."""
+    """Return the error for an invalid document; its outcome is ``not_run``."""
     return MalformedBody(message[:300], outcome=Outcome.NOT_RUN)
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     data = dict(pairs)
     if len(data) != len(pairs):
-        raise ValueError("an object has a key twice")
+        raise ValueError("an object has a duplicate key")
     return data
--- a/bramleycrank/platform/headers.py
+++ b/bramleycrank/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's requests and responses."""
+"""Encodes and decodes the headers of the platform's requests and responses."""
 
 from __future__ import annotations
 
@@ -25,47 +25,49 @@
 MISSING_PARTS = b"X-Missing-Parts"
 RETRY_AFTER = b"Retry-After"
 
-MISDIRECTED = 421
-UNAVAILABLE = 503
+STATUS_MISDIRECTED = 421
+STATUS_UNAVAILABLE = 503
 
-_SET_HERE = frozenset({DEADLINE_MS.lower(), EXPECT_INSTANCE.lower()})
+_REPLACED_HEADERS = frozenset({DEADLINE_MS.lower(), EXPECT_INSTANCE.lower()})
 
 
 class PlatformHeaders:
     """Implements `EntryDialect` for the platform."""
 
     def caller_meta(self, request: Request) -> CallerMeta:
-        """Return what a caller says about its request."""
+        """Return the metadata in the headers of a request."""
         headers = fields_of(request.headers)
-        # The header holds how long the caller waits from now on, not a point in time.
+        # The header contains a duration from now on, not a point in time.
         wait_ms = headers.get(b"x-deadline-ms", b"")
         wait_s = int(wait_ms) / 1000 if wait_ms.isdigit() else None
         return CallerMeta(headers.get(b"x-request-id", b""), wait_s)
 
     def forwarded_headers(self, request: Request) -> Headers:
-        """Return the headers that all sub-requests have."""
-        return end_to_end(request.headers, _SET_HERE)
+        """Return the headers that all sub-requests share."""
+        return end_to_end(request.headers, _REPLACED_HEADERS)
 
     def target_headers(self, target_id: str, timeout_s: float) -> Headers:
-        """Return the headers that each sub-request has of its own."""
+        """Return the headers that differ between sub-requests."""
         return [
             (DEADLINE_MS, b"%d" % max(1, int(timeout_s * 1000))),
             (EXPECT_INSTANCE, target_id.encode()),
         ]
 
     def target_meta(self, response: Response) -> TargetMeta:
-        """Return what a target says about its response."""
+        """Return the metadata in the headers of a response."""
         headers = response.fields
-        misdirected = response.status == MISDIRECTED
+        misdirected = response.status == STATUS_MISDIRECTED
         return TargetMeta(
             request_id=headers.get(b"x-request-id", b""),
             receipt=headers.get(b"x-server-stamp", b""),
             not_run=misdirected or b"x-not-executed" in headers,
             wrong_target=misdirected,
             encoded=headers.get(b"content-encoding", b"identity") != b"identity",
-            load=_load(headers.get(b"x-backend-load")),
+            load=_parse_load(headers.get(b"x-backend-load")),
             leaving=headers.get(b"server-leaving", b"").strip() == b"1",
-            hold_s=_seconds(headers.get(b"retry-after")) if response.status == UNAVAILABLE else 0.0,
+            hold_s=_parse_seconds(headers.get(b"retry-after"))
+            if response.status == STATUS_UNAVAILABLE
+            else 0.0,
         )
 
     def merged_headers(self, meta: CallerMeta, receipts: Sequence[bytes], missing: int) -> Headers:
@@ -78,15 +80,15 @@
         ]
 
     def refusal_headers(self, meta: CallerMeta, retry_after_s: float) -> Headers:
-        """Return the headers of an error of this VM."""
+        """Return the headers of an error response of this VM."""
         headers = [(REQUEST_ID, meta.request_id)] if meta.request_id else []
         if retry_after_s > 0:
             headers.append((RETRY_AFTER, b"%.3f" % retry_after_s))
         return headers
 
 
-def _seconds(value: bytes | None) -> float:
-    """Return a duration in seconds; NaN for what is no number, 0 if there is none."""
+def _parse_seconds(value: bytes | None) -> float:
+    """Return a duration in seconds: NaN if the value is not a number, 0 if it is missing."""
     if value is None:
         return 0.0
     try:
@@ -95,10 +97,10 @@
         return math.nan
 
 
-def _load(value: bytes | None) -> LoadReport | None:
-    """Return the load report of the figures "running,waiting,slots"; a fourth one may follow."""
-    figures = value.split(b",") if value else []
-    if len(figures) < 3 or not all(figure.strip().isdigit() for figure in figures[:3]):
+def _parse_load(value: bytes | None) -> LoadReport | None:
+    """Return the load report of "running,waiting,slots"; further numbers are ignored."""
+    numbers = value.split(b",") if value else []
+    if len(numbers) < 3 or not all(number.strip().isdigit() for number in numbers[:3]):
         return None
-    running, waiting, slots = (int(figure) for figure in figures[:3])
+    running, waiting, slots = (int(number) for number in numbers[:3])
     return LoadReport(in_flight=running, queued=waiting, slots=slots)
--- a/bramleycrank/platform/node_file.py
+++ b/bramleycrank/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the settings of a VM."""
+"""Decodes the settings file of the platform into the settings of a VM."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from bramleycrank.settings import Address, Settings
 
 METRICS_PORT = 9464
-"""Port of the metrics on every machine; `deploy/system.toml` names the same."""
+"""Metrics port of every VM; must match `deploy/system.toml`."""
 
 LEASE_HEARTBEATS = 4.5
-"""Heartbeats that may be missing before a back end counts as gone; one may be seconds late."""
+"""Lease of a target in heartbeat intervals; a heartbeat may be seconds late."""
 
 PROBE_PERIOD_S = 0.5
-"""Time between two probes of another machine; gossip passes changes on with them."""
+"""Interval between probes, in seconds; probes also carry gossip."""
 
-DRAIN_SHARE = 0.85
-"""Part of the grace time after SIGTERM that requests in flight may use."""
+DRAIN_LIMIT_SHARE = 0.85
+"""Part of the grace period after SIGTERM that is available for draining."""
 
-NOTICE_S = 2.3
-"""Time in which a machine that was told to stop still accepts, in seconds.
+DRAIN_NOTICE_S = 2.3
+"""Time for which a VM still accepts requests after SIGTERM, in seconds.
 
-The platform asks once a second whether a machine is ready and goes by two misses.
+The platform checks readiness once a second, and stops sending requests after two failed checks.
 """
 
 
@@ -68,9 +68,9 @@
 def decode(entries: dict[str, str]) -> HttpNodeConfig:
     """Return the configuration for the entries of a settings file."""
     ip = entries["Ip"]
-    # The ports between nodes are the same on all machines, so the first one serves for gRPC.
+    # All VMs have the same range of internal ports; the first one is used for gRPC.
     internal_port = int(entries["InternalPortRange"].partition(",")[0])
-    # Seeds are addresses for operators and back ends; only their hosts matter here.
+    # The ports of the seeds are for operators and targets; only the hosts are used here.
     seed_hosts = [_host(seed) for seed in entries.get("Seeds", "").split(",") if seed]
     seeds = tuple(f"{host}:{internal_port}" for host in seed_hosts)
     heartbeat_s = int(entries.get("HeartbeatMs") or 1000) / 1000
@@ -89,8 +89,9 @@
         "listen": {"grpc": f"{ip}:{internal_port}"},
         "peers": {"seeds": list(seeds)},
         "life_cycle": {
-            "drain_notice_s": NOTICE_S if serves_callers else 0.0,
-            "drain_limit_s": grace_s * DRAIN_SHARE - (NOTICE_S if serves_callers else 0.0),
+            "drain_notice_s": DRAIN_NOTICE_S if serves_callers else 0.0,
+            "drain_limit_s": grace_s * DRAIN_LIMIT_SHARE
+            - (DRAIN_NOTICE_S if serves_callers else 0.0),
         },
     }
     if entries.get("DataDir"):
@@ -122,5 +123,5 @@
         return None
     address = Address.parse(value)
     if address is None:
-        raise ValueError(f"{value!r} is no address")
+        raise ValueError(f"{value!r} is not a valid address")
     return address
