--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -175,7 +175,7 @@
         )
         call = Call(exchange, meta, execution)
         self._calls.add(call)
-        exchange.on_gone = lambda: self._on_gone(call)
+        exchange.on_disconnected = lambda: self._on_gone(call)
         self._execute(call, execution.start(now))
 
     def _on_gone(self, call: Call) -> None:
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -65,7 +65,7 @@
         Size of head and body in bytes.
     """
 
-    __slots__ = ("_connection", "arrived", "on_gone", "request", "size")
+    __slots__ = ("_connection", "arrived", "on_disconnected", "request", "size")
 
     def __init__(
         self, request: Request, connection: ServerConnection, arrived: float, size: int
@@ -73,7 +73,7 @@
         self.request = request
         self.size = size
         self.arrived = arrived
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnected: Callable[[], None] | None = None
         self._connection = connection
 
     @property
@@ -88,7 +88,7 @@
 
     def respond(self, status: int, headers: Headers, body: bytes, *, close: bool = False) -> None:
         """Write the response; does nothing if the caller disconnected."""
-        self.on_gone = None
+        self.on_disconnected = None
         self._connection.respond(self, status, headers, body, close)
 
 
@@ -342,8 +342,8 @@
         self._server.intake.release(self)
         self._waiting.clear()
         exchange, self._current = self._current, None
-        if exchange is not None and exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange is not None and exchange.on_disconnected is not None:
+            exchange.on_disconnected()
 
     @property
     def round_trip_s(self) -> float | None:
