--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -77,7 +77,7 @@
         self._connection = connection
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the caller disconnected."""
         return self._connection.closed
 
