--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -16,7 +16,7 @@
 from bramleycrank.routing import RouteIndex
 from bramleycrank.scatter.budget import ExtraConfig
 from bramleycrank.scatter.policy import TargetPolicy
-from bramleycrank.transport.http1 import IntakeBudget, TargetConnection
+from bramleycrank.transport.http1 import ReceiveBudget, TargetConnection
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
         self.policy = TargetPolicy(
             domain, extra, self.pool.has_capacity, lambda: self._vm_count, rng
         )
-        self._intake: IntakeBudget[TargetConnection] = IntakeBudget.from_memory(memory_bytes)
+        self._intake: ReceiveBudget[TargetConnection] = ReceiveBudget.from_memory(memory_bytes)
         self._services_of: dict[str, str] = {}
         self._incarnations: dict[str, int] = {}
         self._served: set[str] = set()
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -25,7 +25,7 @@
 from bramleycrank.routing import Limits
 from bramleycrank.scatter.budget import ExtraConfig
 from bramleycrank.settings import Address, Settings
-from bramleycrank.transport.http1 import Exchange, Http1Server, IntakeBudget
+from bramleycrank.transport.http1 import Exchange, Http1Server, ReceiveBudget
 from bramleycrank.transport.http1.server_connection import ServerConnection
 from bramleycrank.transport.peer_service import PeerService
 
@@ -251,8 +251,8 @@
         self._servers.append(self._callers)
         await self._callers.start(address.host, address.port)
 
-    def _intake(self) -> IntakeBudget[ServerConnection]:
-        return IntakeBudget.from_memory(self._cfg.memory_bytes)
+    def _intake(self) -> ReceiveBudget[ServerConnection]:
+        return ReceiveBudget.from_memory(self._cfg.memory_bytes)
 
     async def _listen(
         self, address: Address | None, handler: Handler, limits: Limits | None = None
--- a/bramleycrank/transport/http1/__init__.py
+++ b/bramleycrank/transport/http1/__init__.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 on plain asyncio transports with a C parser, for requests that this VM forwards."""
 
 from bramleycrank.transport.http1.client import ConnectionListener, TargetConnection
-from bramleycrank.transport.http1.intake import IntakeBudget
+from bramleycrank.transport.http1.intake import ReceiveBudget
 from bramleycrank.transport.http1.messages import Request, RequestTemplate, Response
 from bramleycrank.transport.http1.server import Http1Server
 from bramleycrank.transport.http1.server_connection import Exchange
@@ -10,7 +10,7 @@
     "ConnectionListener",
     "Exchange",
     "Http1Server",
-    "IntakeBudget",
+    "ReceiveBudget",
     "Request",
     "RequestTemplate",
     "Response",
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -12,7 +12,7 @@
 import httptools
 
 from bramleycrank.observability.request_log import RequestLog
-from bramleycrank.transport.http1.intake import IntakeBudget, MessageMeter
+from bramleycrank.transport.http1.intake import MessageMeter, ReceiveBudget
 from bramleycrank.transport.http1.messages import Headers, Response, fields_of
 
 log = logging.getLogger(__name__)
@@ -73,12 +73,12 @@
     ----------
     listener : ConnectionListener
         Receives the events of the connection.
-    intake : IntakeBudget
+    intake : ReceiveBudget
         Memory for unfinished responses, shared with other connections.
     """
 
     def __init__(
-        self, listener: ConnectionListener, intake: IntakeBudget[TargetConnection]
+        self, listener: ConnectionListener, intake: ReceiveBudget[TargetConnection]
     ) -> None:
         self.requests = 0
         self.closed = False
--- a/bramleycrank/transport/http1/intake.py
+++ b/bramleycrank/transport/http1/intake.py
@@ -51,7 +51,7 @@
 Holder = TypeVar("Holder")
 
 
-class IntakeBudget(Generic[Holder]):
+class ReceiveBudget(Generic[Holder]):
     """Shares the memory for incomplete messages among the connections that receive them.
 
     Load pattern: some peers send endless messages while others send valid ones. The connection that
@@ -69,7 +69,7 @@
         self._held: dict[Holder, int] = {}
 
     @classmethod
-    def from_memory(cls, memory_bytes: int) -> IntakeBudget[Holder]:
+    def from_memory(cls, memory_bytes: int) -> ReceiveBudget[Holder]:
         """Return the budget for a memory limit of the VM in bytes; 0 means unknown."""
         return cls(int(memory_bytes * MEMORY_SHARE) or DEFAULT_INTAKE_BYTES)
 
--- a/bramleycrank/transport/http1/server.py
+++ b/bramleycrank/transport/http1/server.py
@@ -10,7 +10,7 @@
 
 from bramleycrank.observability.request_log import RequestLog
 from bramleycrank.routing import Limits
-from bramleycrank.transport.http1.intake import IntakeBudget
+from bramleycrank.transport.http1.intake import ReceiveBudget
 from bramleycrank.transport.http1.server_connection import Handler, ServerConnection
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
         Handles the requests.
     limits : callable
         Returns the limits in force.
-    intake : IntakeBudget, optional
+    intake : ReceiveBudget, optional
         Memory for the requests of all connections.
     """
 
@@ -36,11 +36,11 @@
         self,
         handler: Handler,
         limits: Callable[[], Limits] = Limits,
-        intake: IntakeBudget[ServerConnection] | None = None,
+        intake: ReceiveBudget[ServerConnection] | None = None,
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.intake = intake or IntakeBudget()
+        self.intake = intake or ReceiveBudget()
         self.draining = False
         self.connections: set[ServerConnection] = set()
         self.refusals = RequestLog(log, time.monotonic)
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -13,7 +13,7 @@
 
 from bramleycrank.observability.request_log import RequestLog
 from bramleycrank.routing import Limits
-from bramleycrank.transport.http1.intake import IntakeBudget, MessageMeter
+from bramleycrank.transport.http1.intake import MessageMeter, ReceiveBudget
 from bramleycrank.transport.http1.messages import Headers, Request, encode_response
 from bramleycrank.transport.http1.round_trip import round_trip_of
 
@@ -47,7 +47,7 @@
     draining: bool
     connections: set[ServerConnection]
     refusals: RequestLog
-    intake: IntakeBudget[ServerConnection]
+    intake: ReceiveBudget[ServerConnection]
 
 
 class Exchange:
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -13,7 +13,7 @@
 from test_entry_controller import run, status
 
 from bramleycrank.daemon.http_node import CONTROL_LIMITS, Handler
-from bramleycrank.transport.http1 import Http1Server, IntakeBudget
+from bramleycrank.transport.http1 import Http1Server, ReceiveBudget
 from bramleycrank.transport.http1.client import MAX_RESPONSE_BYTES
 from bramleycrank.transport.http1.intake import CHUNK_FRAMING, MessageMeter
 
@@ -213,7 +213,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 6), st.integers(1, 300)), max_size=80))
 def test_largest_holder_is_evicted_and_an_equal_share_never_is(steps):
-    budget, held = IntakeBudget(500), {}
+    budget, held = ReceiveBudget(500), {}
     for holder, count in steps:
         held[holder] = held.get(holder, 0) + count
         equal_share = budget.limit_bytes / len(held)
