--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -12,8 +12,8 @@
 import httptools
 
 from bramleycrank.observability.request_log import RequestLog
-from bramleycrank.transport.http1.intake import MessageMeter, ReceiveBudget
 from bramleycrank.transport.http1.messages import Headers, Response, fields_of
+from bramleycrank.transport.http1.receive_budget import MessageMeter, ReceiveBudget
 
 log = logging.getLogger(__name__)
 
--- a/bramleycrank/transport/http1/server.py
+++ b/bramleycrank/transport/http1/server.py
@@ -10,7 +10,7 @@
 
 from bramleycrank.observability.request_log import RequestLog
 from bramleycrank.routing import Limits
-from bramleycrank.transport.http1.intake import ReceiveBudget
+from bramleycrank.transport.http1.receive_budget import ReceiveBudget
 from bramleycrank.transport.http1.server_connection import Handler, ServerConnection
 
 log = logging.getLogger(__name__)
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -13,8 +13,8 @@
 
 from bramleycrank.observability.request_log import RequestLog
 from bramleycrank.routing import Limits
-from bramleycrank.transport.http1.intake import MessageMeter, ReceiveBudget
 from bramleycrank.transport.http1.messages import Headers, Request, encode_response
+from bramleycrank.transport.http1.receive_budget import MessageMeter, ReceiveBudget
 from bramleycrank.transport.http1.round_trip import round_trip_of
 
 log = logging.getLogger(__name__)
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -15,7 +15,7 @@
 from bramleycrank.daemon.http_node import CONTROL_LIMITS, Handler
 from bramleycrank.transport.http1 import Http1Server, ReceiveBudget
 from bramleycrank.transport.http1.client import MAX_RESPONSE_BYTES
-from bramleycrank.transport.http1.intake import CHUNK_FRAMING, MessageMeter
+from bramleycrank.transport.http1.receive_budget import CHUNK_FRAMING, MessageMeter
 
 SOCKET_BUFFER_BYTES = 8 * 1024 * 1024
 """Most unread data in the socket buffers of a loopback connection."""
