--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -73,18 +73,18 @@
     ----------
     listener : ConnectionListener
         Receives the events of the connection.
-    intake : ReceiveBudget
+    receive_budget : ReceiveBudget
         Memory for unfinished responses, shared with other connections.
     """
 
     def __init__(
-        self, listener: ConnectionListener, intake: ReceiveBudget[TargetConnection]
+        self, listener: ConnectionListener, receive_budget: ReceiveBudget[TargetConnection]
     ) -> None:
         self.requests = 0
         self.closed = False
         self.idle_until: float | None = None
         self._listener = listener
-        self._intake = intake
+        self._intake = receive_budget
         self._meter = MessageMeter(MAX_FRAMING_BYTES)
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
--- a/bramleycrank/transport/http1/server.py
+++ b/bramleycrank/transport/http1/server.py
@@ -28,7 +28,7 @@
         Handles the requests.
     limits : callable
         Returns the limits in force.
-    intake : ReceiveBudget, optional
+    receive_budget : ReceiveBudget, optional
         Memory for the requests of all connections.
     """
 
@@ -36,11 +36,11 @@
         self,
         handler: Handler,
         limits: Callable[[], Limits] = Limits,
-        intake: ReceiveBudget[ServerConnection] | None = None,
+        receive_budget: ReceiveBudget[ServerConnection] | None = None,
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.intake = intake or ReceiveBudget()
+        self.receive_budget = receive_budget or ReceiveBudget()
         self.draining = False
         self.connections: set[ServerConnection] = set()
         self.refusals = RequestLog(log, time.monotonic)
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -47,7 +47,7 @@
     draining: bool
     connections: set[ServerConnection]
     refusals: RequestLog
-    intake: ReceiveBudget[ServerConnection]
+    receive_budget: ReceiveBudget[ServerConnection]
 
 
 class Exchange:
@@ -249,7 +249,7 @@
         self._handle_next()
 
     def _reserve_memory(self, count: int) -> None:
-        for conn in self._server.intake.add(self, count):
+        for conn in self._server.receive_budget.add(self, count):
             conn.abort_request()
 
     def abort_request(self) -> None:
@@ -281,7 +281,7 @@
         if self.closed or self._current is not exchange:
             return
         self._current = None
-        self._server.intake.release(self, exchange.size)
+        self._server.receive_budget.release(self, exchange.size)
         close = close or not self._keep_alive or self._server.draining
         head = exchange.request.method == b"HEAD"
         self._write(encode_response(status, headers, body, close=close, head=head))
@@ -314,7 +314,7 @@
             status=status,
             framing_bytes=self._meter.framing,
             body_bytes=self._body_bytes,
-            held_bytes=self._server.intake.held_bytes,
+            held_bytes=self._server.receive_budget.held_bytes,
             bounds=attrs.asdict(self._server.limits()),
         )
         headers = [(b"Content-Type", b"text/plain")]
@@ -329,7 +329,7 @@
 
     def _close_after_write(self) -> None:
         self._closing = True
-        self._server.intake.release(self)
+        self._server.receive_budget.release(self)
         self._waiting.clear()
         if self._transport is not None:
             self._transport.close()
@@ -339,7 +339,7 @@
             return
         self.closed = True
         self._server.connections.discard(self)
-        self._server.intake.release(self)
+        self._server.receive_budget.release(self)
         self._waiting.clear()
         exchange, self._current = self._current, None
         if exchange is not None and exchange.on_disconnected is not None:
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -181,7 +181,7 @@
             while answers.count(b"hello") < 4:
                 answers += await reader.read(PIECE_BYTES)
         writer.close()
-        assert world.server.intake.held_bytes == 0
+        assert world.server.receive_budget.held_bytes == 0
 
     run(scenario, a1=ok)
 
@@ -190,7 +190,7 @@
     """Load pattern: callers start to send more bodies than fit into the memory of the VM."""
 
     async def scenario(world):
-        world.server.intake.limit_bytes = 4000
+        world.server.receive_budget.limit_bytes = 4000
         conns = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(12)]
         for _, writer in conns:
             writer.write(HEAD + b"Content-Length: 900\r\n\r\n" + b"x" * 600)
@@ -206,7 +206,7 @@
         assert {status(answer) for answer in served} == {200, 503}
         # A body within an equal share of the memory is never refused.
         assert sum(status(answer) == 200 for answer in served) >= 4000 // 1000
-        assert world.server.intake.held_bytes == 0
+        assert world.server.receive_budget.held_bytes == 0
 
     run(scenario, a1=ok)
 
