--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -84,7 +84,7 @@
         self.closed = False
         self.idle_until: float | None = None
         self._listener = listener
-        self._intake = receive_budget
+        self._receive_budget = receive_budget
         self._meter = MessageMeter(MAX_FRAMING_BYTES)
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -165,7 +165,7 @@
         elif self._meter.body > MAX_RESPONSE_BYTES:
             self._reject_response("the body of a response is too large", MAX_RESPONSE_BYTES)
         else:
-            for conn in self._intake.add(self, nbytes):
+            for conn in self._receive_budget.add(self, nbytes):
                 conn.abort_request()
 
     def eof_received(self) -> bool:
@@ -251,7 +251,9 @@
 
     def abort_request(self) -> None:
         """Fail the request in progress, because the memory for responses is used up."""
-        self._reject_response("the memory for responses is used up", self._intake.limit_bytes)
+        self._reject_response(
+            "the memory for responses is used up", self._receive_budget.limit_bytes
+        )
 
     def _reject_response(self, reason: str, bound: int) -> None:
         _rejection_log.note(
@@ -270,7 +272,7 @@
     def _clear_request(self) -> httptools.HttpResponseParser | None:
         """Clear the request in progress and return its parser."""
         parser, self._parser = self._parser, None
-        self._intake.release(self)
+        self._receive_budget.release(self)
         return parser
 
     def _fail_request(self, *, garbled: bool) -> None:
