--- a/bramleycrank/transport/http_api.py
+++ b/bramleycrank/transport/http_api.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Largest body in bytes."""
 
 MAX_DISCARDED = 1024 * 1024
@@ -61,14 +61,14 @@
         """Prepare for the body; reject one that is far above the limit at once."""
         # Otherwise Twisted parses forms, and responds to malformed ones without a typed error.
         self.requestHeaders.removeHeader(b"content-type")
-        super().gotLength(min(length, MAX_BODY) if length is not None else None)
+        super().gotLength(min(length, MAX_BODY_BYTES) if length is not None else None)
         if length is not None and length > MAX_DISCARDED:
             self._refuse(_body_too_large())
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Store the body up to `MAX_BODY`, discard the rest, and reject it at `MAX_DISCARDED`."""
+        """Store the body up to `MAX_BODY_BYTES`, discard the rest, and reject it at `MAX_DISCARDED`."""
         self._received += len(data)
-        if self._received <= MAX_BODY:
+        if self._received <= MAX_BODY_BYTES:
             super().handleContentChunk(data)
         elif self._received > MAX_DISCARDED:
             self._refuse(_body_too_large())
@@ -77,7 +77,7 @@
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
         """Process a request whose body and path are valid."""
-        if self._received > MAX_BODY:
+        if self._received > MAX_BODY_BYTES:
             self._refuse(_body_too_large())
         elif not _is_utf8(path):
             problem = InvalidRequest("The path is not valid text.", outcome=Outcome.NOT_RUN)
@@ -101,7 +101,7 @@
 
 
 def _body_too_large() -> BramleycrankError:
-    return BodyTooLarge(f"The body is larger than {MAX_BODY} bytes.")
+    return BodyTooLarge(f"The body is larger than {MAX_BODY_BYTES} bytes.")
 
 
 def _is_utf8(path: bytes) -> bool:
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -30,7 +30,7 @@
     QueryRequest,
     Snapshot,
 )
-from bramleycrank.transport.http_api import MAX_BODY, MAX_DISCARDED, HttpApi
+from bramleycrank.transport.http_api import MAX_BODY_BYTES, MAX_DISCARDED, HttpApi
 
 GOOD = {"service": "archivio", "kind": "search", "query": "crack"}
 ANSWER = Answer(
@@ -205,7 +205,7 @@
     run_with(scenario)
 
 
-@pytest.mark.parametrize("size", [MAX_BODY + 1, MAX_DISCARDED + 1, 20 * MAX_DISCARDED])
+@pytest.mark.parametrize("size", [MAX_BODY_BYTES + 1, MAX_DISCARDED + 1, 20 * MAX_DISCARDED])
 @pytest.mark.parametrize("chunked", [False, True])
 def test_large_body_is_refused_while_it_is_read(size: int, chunked: bool) -> None:
     async def scenario(server: Server) -> None:
