--- a/bramleycrank/transport/http_api.py
+++ b/bramleycrank/transport/http_api.py
@@ -34,7 +34,7 @@
 MAX_BODY_BYTES = 64 * 1024
 """Largest body in bytes."""
 
-MAX_DISCARDED = 1024 * 1024
+MAX_DISCARDED_BYTES = 1024 * 1024
 """Bytes of an oversized body that are read, so that the caller receives the response.
 
 Closing a connection with unread data resets it, and the response may be lost.
@@ -62,15 +62,15 @@
         # Otherwise Twisted parses forms, and responds to malformed ones without a typed error.
         self.requestHeaders.removeHeader(b"content-type")
         super().gotLength(min(length, MAX_BODY_BYTES) if length is not None else None)
-        if length is not None and length > MAX_DISCARDED:
+        if length is not None and length > MAX_DISCARDED_BYTES:
             self._refuse(_body_too_large())
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Store the body up to `MAX_BODY_BYTES`, discard the rest, and reject it at `MAX_DISCARDED`."""
+        """Store the body up to `MAX_BODY_BYTES`, discard the rest, and reject it at `MAX_DISCARDED_BYTES`."""
         self._received += len(data)
         if self._received <= MAX_BODY_BYTES:
             super().handleContentChunk(data)
-        elif self._received > MAX_DISCARDED:
+        elif self._received > MAX_DISCARDED_BYTES:
             self._refuse(_body_too_large())
 
     def requestReceived(  # noqa: N802 - Twisted's name
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -30,7 +30,7 @@
     QueryRequest,
     Snapshot,
 )
-from bramleycrank.transport.http_api import MAX_BODY_BYTES, MAX_DISCARDED, HttpApi
+from bramleycrank.transport.http_api import MAX_BODY_BYTES, MAX_DISCARDED_BYTES, HttpApi
 
 GOOD = {"service": "archivio", "kind": "search", "query": "crack"}
 ANSWER = Answer(
@@ -205,7 +205,9 @@
     run_with(scenario)
 
 
-@pytest.mark.parametrize("size", [MAX_BODY_BYTES + 1, MAX_DISCARDED + 1, 20 * MAX_DISCARDED])
+@pytest.mark.parametrize(
+    "size", [MAX_BODY_BYTES + 1, MAX_DISCARDED_BYTES + 1, 20 * MAX_DISCARDED_BYTES]
+)
 @pytest.mark.parametrize("chunked", [False, True])
 def test_large_body_is_refused_while_it_is_read(size: int, chunked: bool) -> None:
     async def scenario(server: Server) -> None:
@@ -226,7 +228,7 @@
     async def scenario(server: Server) -> None:
         head = b"POST /v1/query HTTP/1.1\r\nHost: vm\r\nTransfer-Encoding: chunked\r\n\r\n"
         chunk = b"10000\r\n" + b"x" * 65_536 + b"\r\n"
-        status, _, _ = await server.send(head + chunk * (MAX_DISCARDED // 65_536 + 1), 65_536)
+        status, _, _ = await server.send(head + chunk * (MAX_DISCARDED_BYTES // 65_536 + 1), 65_536)
         assert status == 413
 
     run_with(scenario)
