--- a/bramleycrank/transport/http1/receive_budget.py
+++ b/bramleycrank/transport/http1/receive_budget.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-CHUNK_FRAMING = 8
+CHUNK_FRAMING_FACTOR = 8
 """Most framing bytes for each byte of a body; a chunk of one byte has at least five."""
 
 DEFAULT_INTAKE_BYTES = 32 * 1024 * 1024
@@ -45,7 +45,7 @@
     @property
     def exceeded(self) -> bool:
         """Whether the framing exceeds its limit, which grows with the body."""
-        return self.framing > self.framing_bytes + CHUNK_FRAMING * self.body
+        return self.framing > self.framing_bytes + CHUNK_FRAMING_FACTOR * self.body
 
 
 Holder = TypeVar("Holder")
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -15,7 +15,7 @@
 from bramleycrank.daemon.http_node import CONTROL_LIMITS, Handler
 from bramleycrank.transport.http1 import Http1Server, ReceiveBudget
 from bramleycrank.transport.http1.client import MAX_RESPONSE_BYTES
-from bramleycrank.transport.http1.receive_budget import CHUNK_FRAMING, MessageMeter
+from bramleycrank.transport.http1.receive_budget import CHUNK_FRAMING_FACTOR, MessageMeter
 
 SOCKET_BUFFER_BYTES = 8 * 1024 * 1024
 """Most unread data in the socket buffers of a loopback connection."""
@@ -232,5 +232,5 @@
         meter.received += 6
         meter.body += 1
         assert not meter.exceeded
-    meter.received += 100 + CHUNK_FRAMING * meter.body
+    meter.received += 100 + CHUNK_FRAMING_FACTOR * meter.body
     assert meter.exceeded
