--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -34,7 +34,7 @@
 from bramleycrank.scatter.delivery import DeliveryEstimate
 from bramleycrank.scatter.returns import spread, until_started
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
-from bramleycrank.transport.http1.messages import size_of
+from bramleycrank.transport.http1.messages import headers_size
 
 log = logging.getLogger(__name__)
 
@@ -349,7 +349,7 @@
         # An open connection would bring the caller's next request here again.
         close = isinstance(action, Refusal) and self._is_cut_off()
         call.exchange.respond(status, headers, body, close=close)
-        self._delivery.on_answer(route, len(body) + size_of(headers))
+        self._delivery.on_answer(route, len(body) + headers_size(headers))
         now = self._clock()
         latency_s = now - call.exchange.arrived
         self._metrics.incr(f"entry.answers.{status}")
--- a/bramleycrank/transport/http1/messages.py
+++ b/bramleycrank/transport/http1/messages.py
@@ -39,7 +39,7 @@
     return {name.lower(): value for name, value in headers}
 
 
-def size_of(headers: Headers) -> int:
+def headers_size(headers: Headers) -> int:
     """Return the size of headers in bytes, without their separators."""
     return sum(len(name) + len(value) for name, value in headers)
 
@@ -109,7 +109,7 @@
     @property
     def size(self) -> int:
         """Bytes of headers and body."""
-        return size_of(self.headers) + len(self.body)
+        return headers_size(self.headers) + len(self.body)
 
 
 class RequestTemplate:
