--- a/bramleycrank/daemon/target_link.py
+++ b/bramleycrank/daemon/target_link.py
@@ -32,7 +32,7 @@
     TargetRecord,
 )
 from bramleycrank.query.types import FailureReason
-from bramleycrank.transport.target_session import OPEN_PING, TargetSession
+from bramleycrank.transport.target_session import OPEN_PING_ID, TargetSession
 
 log = logging.getLogger(__name__)
 
@@ -256,7 +256,7 @@
     def on_message(self, session: TargetSession, message: SessionReply) -> None:
         """Deliver the replies of a message."""
         now = self._clock()
-        if message.pong and message.pong != OPEN_PING:
+        if message.pong and message.pong != OPEN_PING_ID:
             actions = self.monitor.on_pong(session.conn_id, message.pong, now)
         else:
             actions = self.monitor.on_bytes(session.conn_id, now)
--- a/bramleycrank/transport/target_session.py
+++ b/bramleycrank/transport/target_session.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 # Id of the ping in the first message; the ids of the monitor start at 1 and never reach it.
-OPEN_PING = 2**63
+OPEN_PING_ID = 2**63
 
 # Limits a message, so that a large one does not delay the pings behind it.
 MAX_MESSAGE_BYTES = 256 * 1024
@@ -148,7 +148,7 @@
             stream = TargetStub(self._channel).Session.open()
             await stream.__aenter__()
             try:
-                await stream.send_message(SessionRequest(vm_id=self._vm_id, ping=OPEN_PING))
+                await stream.send_message(SessionRequest(vm_id=self._vm_id, ping=OPEN_PING_ID))
                 writer = asyncio.ensure_future(self._write(stream))
                 try:
                     await self._read(stream, limit)
