--- a/bramleycrank/daemon/entry_answers.py
+++ b/bramleycrank/daemon/entry_answers.py
@@ -6,14 +6,14 @@
 from bramleycrank.routing import Route
 from bramleycrank.scatter import Answer, Merged, Refusal, merge_records
 from bramleycrank.scatter.types import Give
-from bramleycrank.transport.http1.messages import Headers, end_to_end
+from bramleycrank.transport.http1.messages import Headers, end_to_end_headers
 
 
 def render(dialect: EntryDialect, meta: CallerMeta, give: Give) -> tuple[int, Headers, bytes, str]:
     """Return status, headers and body of the response, and a note for the log."""
     match give:
         case Answer(answer=answer):
-            return answer.status, end_to_end(answer.headers), answer.body, "answered"
+            return answer.status, end_to_end_headers(answer.headers), answer.body, "answered"
         case Merged():
             receipts = [part.receipt for part in give.parts]
             body = merge_records((part.body for part in give.parts), give.top_records)
--- a/bramleycrank/platform/headers.py
+++ b/bramleycrank/platform/headers.py
@@ -11,7 +11,7 @@
     Headers,
     Request,
     Response,
-    end_to_end,
+    end_to_end_headers,
     fields_of,
 )
 
@@ -44,7 +44,7 @@
 
     def forwarded_headers(self, request: Request) -> Headers:
         """Return the headers that all sub-requests share."""
-        return end_to_end(request.headers, _REPLACED_HEADERS)
+        return end_to_end_headers(request.headers, _REPLACED_HEADERS)
 
     def target_headers(self, target_id: str, timeout_s: float) -> Headers:
         """Return the headers that differ between sub-requests."""
--- a/bramleycrank/transport/http1/messages.py
+++ b/bramleycrank/transport/http1/messages.py
@@ -44,7 +44,7 @@
     return sum(len(name) + len(value) for name, value in headers)
 
 
-def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end_headers(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
     """Return the headers to forward: all but hop-by-hop headers and those in `dropped`."""
     connection_header = find_header(headers, b"connection")
     skip = HOP_BY_HOP | dropped
