--- a/bramleycrank/platform/headers.py
+++ b/bramleycrank/platform/headers.py
@@ -12,7 +12,7 @@
     Request,
     Response,
     end_to_end_headers,
-    fields_of,
+    values_by_name,
 )
 
 REQUEST_ID = b"X-Request-Id"
@@ -36,7 +36,7 @@
 
     def caller_meta(self, request: Request) -> CallerMeta:
         """Return the metadata in the headers of a request."""
-        headers = fields_of(request.headers)
+        headers = values_by_name(request.headers)
         # The header contains a duration from now on, not a point in time.
         wait_ms = headers.get(b"x-deadline-ms", b"")
         wait_s = int(wait_ms) / 1000 if wait_ms.isdigit() else None
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -12,7 +12,7 @@
 import httptools
 
 from bramleycrank.observability.request_log import RequestLog
-from bramleycrank.transport.http1.messages import Headers, Response, fields_of
+from bramleycrank.transport.http1.messages import Headers, Response, values_by_name
 from bramleycrank.transport.http1.receive_budget import MessageMeter, ReceiveBudget
 
 log = logging.getLogger(__name__)
@@ -205,7 +205,7 @@
         if status < 200:
             return
         self._head_complete = True
-        fields = self._fields = fields_of(self._headers)
+        fields = self._fields = values_by_name(self._headers)
         if self._is_head_request:
             self._response_complete = self._garbled = True
             return
--- a/bramleycrank/transport/http1/messages.py
+++ b/bramleycrank/transport/http1/messages.py
@@ -34,7 +34,7 @@
     return next((value for key, value in headers if key.lower() == name), None)
 
 
-def fields_of(headers: Headers) -> dict[bytes, bytes]:
+def values_by_name(headers: Headers) -> dict[bytes, bytes]:
     """Return the values of headers by their names in lower case."""
     return {name.lower(): value for name, value in headers}
 
@@ -103,7 +103,7 @@
     headers: Headers
     body: bytes
     fields: dict[bytes, bytes] = attrs.field(
-        default=attrs.Factory(lambda self: fields_of(self.headers), takes_self=True)
+        default=attrs.Factory(lambda self: values_by_name(self.headers), takes_self=True)
     )
 
     @property
