--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -254,7 +254,7 @@
         if not sub.listener.on_response(sub, response):
             conn.close()
 
-    def on_broken(self, conn: Connection, *, garbled: bool) -> None:
+    def on_request_failed(self, conn: Connection, *, garbled: bool) -> None:
         """Handle a connection that failed during a response."""
         self._report_lost(conn, garbled=garbled)
 
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -49,7 +49,7 @@
     def on_response(self, conn: TargetConnection, response: Response) -> None:
         """Handle the complete response to the request in progress."""
 
-    def on_broken(self, conn: TargetConnection, *, garbled: bool) -> None:
+    def on_request_failed(self, conn: TargetConnection, *, garbled: bool) -> None:
         """Handle a failure of the request in progress, which gets no complete response.
 
         Parameters
@@ -61,7 +61,7 @@
         """
 
     def on_closed(self, conn: TargetConnection) -> None:
-        """Handle the closed connection; called once, after `on_broken` if that is called."""
+        """Handle the closed connection; called once, after `on_request_failed` if that is called."""
 
 
 class TargetConnection(asyncio.BufferedProtocol):
@@ -182,7 +182,7 @@
         self.closed = True
         if self._parser is not None:
             self._clear_request()
-            self._listener.on_broken(self, garbled=False)
+            self._listener.on_request_failed(self, garbled=False)
         self._listener.on_closed(self)
 
     # Callbacks of the parser.
@@ -279,4 +279,4 @@
         self._clear_request()
         self._transport.abort()
         self._body = bytearray()
-        self._listener.on_broken(self, garbled=garbled)
+        self._listener.on_request_failed(self, garbled=garbled)
