--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -73,6 +73,6 @@
             # The address in the log may still be right, for example if only gossip is cut.
             self._by_vm.pop(record.vm_id, None)
             if record.vm_id != self._own.vm_id:
-                self._clients.forget(address)
+                self._clients.close_peer(address)
         else:
             self._by_vm[record.vm_id] = address
--- a/bramleycrank/transport/peer_client.py
+++ b/bramleycrank/transport/peer_client.py
@@ -157,7 +157,7 @@
         if link.in_flight == 0 and (link.retired or self._closed):
             link.channel.close()
 
-    def forget(self, address: str) -> None:
+    def close_peer(self, address: str) -> None:
         """Close the channel of a peer that left, as soon as its calls have ended."""
         link = self._links.get(address)
         if link is not None:
