--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -61,7 +61,7 @@
         """
 
     def on_closed(self, conn: TargetConnection) -> None:
-        """Handle the closed connection; called once, after `on_request_failed` if that is called."""
+        """Handle the closed connection; called once, after any call of `on_request_failed`."""
 
 
 class TargetConnection(asyncio.BufferedProtocol):
@@ -74,7 +74,7 @@
     listener : ConnectionListener
         Receives the events of the connection.
     receive_budget : ReceiveBudget
-        Memory for unfinished responses, shared with other connections.
+        Memory for incomplete responses, shared with other connections.
     """
 
     def __init__(
--- a/bramleycrank/transport/http1/receive_budget.py
+++ b/bramleycrank/transport/http1/receive_budget.py
@@ -7,9 +7,9 @@
 import attrs
 
 CHUNK_FRAMING_FACTOR = 8
-"""Most framing bytes for each byte of a body; a chunk of one byte has at least five."""
+"""Most framing bytes for each byte of a body; a chunk of one byte has five of them."""
 
-DEFAULT_INTAKE_BYTES = 32 * 1024 * 1024
+DEFAULT_LIMIT_BYTES = 32 * 1024 * 1024
 """Memory for incomplete messages of a VM whose memory limit is unknown."""
 
 MEMORY_SHARE = 1 / 8
@@ -63,7 +63,7 @@
         Limit for the bytes of all connections together.
     """
 
-    def __init__(self, limit_bytes: int = DEFAULT_INTAKE_BYTES) -> None:
+    def __init__(self, limit_bytes: int = DEFAULT_LIMIT_BYTES) -> None:
         self.limit_bytes = limit_bytes
         self.held_bytes = 0
         self._held: dict[Holder, int] = {}
@@ -71,7 +71,7 @@
     @classmethod
     def from_memory(cls, memory_bytes: int) -> ReceiveBudget[Holder]:
         """Return the budget for a memory limit of the VM in bytes; 0 means unknown."""
-        return cls(int(memory_bytes * MEMORY_SHARE) or DEFAULT_INTAKE_BYTES)
+        return cls(int(memory_bytes * MEMORY_SHARE) or DEFAULT_LIMIT_BYTES)
 
     def add(self, holder: Holder, count: int) -> list[Holder]:
         """Add received bytes; return the evicted holders, whose bytes are already released."""
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -28,7 +28,7 @@
 MEMORY_RETRY_AFTER_S = 1
 """Retry-after of a request that is refused for lack of memory, in seconds."""
 
-WRITE_STALL_S = 10.0
+WRITE_TIMEOUT_S = 10.0
 """Time after which a caller that does not read its response is disconnected, in seconds."""
 
 
@@ -121,7 +121,7 @@
         # Arrival of the first byte of an incomplete request.
         self._request_started_at: float | None = None
         self._idle_since = self._loop.time()
-        self._stalled_since: float | None = None
+        self._write_blocked_since: float | None = None
 
     def _start_request(self) -> None:
         self._url = b""
@@ -148,11 +148,11 @@
 
     def pause_writing(self) -> None:
         """Start the write timeout: the caller does not read its response."""
-        self._stalled_since = self._loop.time()
+        self._write_blocked_since = self._loop.time()
 
     def resume_writing(self) -> None:
         """Stop the write timeout: the caller reads again."""
-        self._stalled_since = None
+        self._write_blocked_since = None
 
     def data_received(self, data: bytes) -> None:
         """Parse received data."""
@@ -364,7 +364,10 @@
     def check_timeouts(self, now: float) -> None:
         """Apply the timeouts."""
         limits = self._server.limits()
-        if self._stalled_since is not None and now - self._stalled_since > WRITE_STALL_S:
+        if (
+            self._write_blocked_since is not None
+            and now - self._write_blocked_since > WRITE_TIMEOUT_S
+        ):
             self._transport.abort()
         elif self._current is not None or self._waiting or self._closing:
             return
--- a/bramleycrank/transport/http_api.py
+++ b/bramleycrank/transport/http_api.py
@@ -66,7 +66,7 @@
             self._refuse(_body_too_large())
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Store the body up to `MAX_BODY_BYTES`, discard the rest, and reject it at `MAX_DISCARDED_BYTES`."""
+        """Store the body up to its limit; reject it at `MAX_DISCARDED_BYTES`."""
         self._received += len(data)
         if self._received <= MAX_BODY_BYTES:
             super().handleContentChunk(data)
--- a/bramleycrank/transport/target_session.py
+++ b/bramleycrank/transport/target_session.py
@@ -77,9 +77,9 @@
         self._vm_id = vm_id
         self._events = events
         self._channel = Channel(host, port)
-        self._pending: dict[int, SubRequest] = {}
-        self._cancels: list[int] = []
-        self._ping = 0
+        self._unsent: dict[int, SubRequest] = {}
+        self._unsent_cancels: list[int] = []
+        self._unsent_ping = 0
         self._has_output = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._refused = False
@@ -87,23 +87,23 @@
     def start(self, open_timeout_s: float) -> None:
         """Connect; calls `on_open`, or `on_closed` after a failure or `open_timeout_s`."""
         self._task = asyncio.ensure_future(self._run(open_timeout_s))
-        # A `finally` in `_run` would not do: a task cancelled before its first step never runs it.
+        # Not a `finally` in `_run`, because a task that is cancelled before its start never runs it.
         self._task.add_done_callback(self._on_task_done)
 
     def send(self, request: SubRequest) -> None:
         """Send a request with the next message."""
-        self._pending[request.sub_id] = request
+        self._unsent[request.sub_id] = request
         self._has_output.set()
 
     def cancel(self, sub_id: int) -> None:
         """Cancel a request; one that is still unsent is dropped."""
-        if self._pending.pop(sub_id, None) is None:
-            self._cancels.append(sub_id)
+        if self._unsent.pop(sub_id, None) is None:
+            self._unsent_cancels.append(sub_id)
             self._has_output.set()
 
     def ping(self, ping_id: int) -> None:
         """Send a ping with the next message."""
-        self._ping = ping_id
+        self._unsent_ping = ping_id
         self._has_output.set()
 
     def close(self, *, abort: bool = False) -> None:
@@ -140,18 +140,18 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.closed = True
         self._channel.close()
-        unsent, self._pending = list(self._pending.values()), {}
+        unsent, self._unsent = list(self._unsent.values()), {}
         self._events.on_closed(self, unsent, refused=self._refused)
 
     async def _run_stream(self, open_timeout_s: float) -> None:
-        async with asyncio.timeout(open_timeout_s) as limit:
+        async with asyncio.timeout(open_timeout_s) as open_timeout:
             stream = TargetStub(self._channel).Session.open()
             await stream.__aenter__()
             try:
                 await stream.send_message(SessionRequest(vm_id=self._vm_id, ping=OPEN_PING_ID))
                 writer = asyncio.ensure_future(self._write(stream))
                 try:
-                    await self._read(stream, limit)
+                    await self._read(stream, open_timeout)
                 finally:
                     writer.cancel()
             finally:
@@ -164,33 +164,32 @@
         if inner is not None and inner.closable:
             inner.reset_nowait()
 
-    async def _read(self, stream: Stream, limit: asyncio.Timeout) -> None:
+    async def _read(self, stream: Stream, open_timeout: asyncio.Timeout) -> None:
         try:
             while (message := await stream.recv_message()) is not None:
-                self._deliver(message, limit)
+                self._deliver(message, open_timeout)
         except StreamTerminatedError:
             self._refused = _is_refusal(stream)
-            await self._deliver_buffered(stream, limit)
+            await self._deliver_buffered(stream, open_timeout)
             raise
 
-    async def _deliver_buffered(self, stream: Stream, limit: asyncio.Timeout) -> None:
+    async def _deliver_buffered(self, stream: Stream, open_timeout: asyncio.Timeout) -> None:
         """Deliver the messages that arrived before the connection was lost.
 
         grpclib cancels the reader when the connection ends, although its buffer may still contain
         replies.
         """
         inner = stream._stream
-        inner.buffer._ack_callback = lambda size: (
-            None
-        )  # the lost connection needs no acknowledgement
+        # A lost connection needs no acknowledgement.
+        inner.buffer._ack_callback = lambda size: None
         inner.buffer.eof()
         while (message := await recv_message(inner, stream._codec, stream._recv_type)) is not None:
-            self._deliver(message, limit)
+            self._deliver(message, open_timeout)
 
-    def _deliver(self, message: SessionReply, limit: asyncio.Timeout) -> None:
+    def _deliver(self, message: SessionReply, open_timeout: asyncio.Timeout) -> None:
         if not self.opened:
             self.opened = True
-            limit.reschedule(None)
+            open_timeout.reschedule(None)
             self._events.on_open(self)
         self._events.on_message(self, message)
 
@@ -210,18 +209,18 @@
         """Remove and return the requests of the next message, at least one if any are pending."""
         requests = []
         size = 0
-        while self._pending and size < MAX_MESSAGE_BYTES:
-            request = next(iter(self._pending.values()))
-            del self._pending[request.sub_id]
+        while self._unsent and size < MAX_MESSAGE_BYTES:
+            request = next(iter(self._unsent.values()))
+            del self._unsent[request.sub_id]
             requests.append(request)
             size += request.ByteSize()
-        if self._pending:
+        if self._unsent:
             self._has_output.set()
         return requests
 
     def _next_message(self) -> SessionRequest:
-        message = SessionRequest(cancel_sub_ids=self._cancels, ping=self._ping)
-        self._cancels, self._ping = [], 0
+        message = SessionRequest(cancel_sub_ids=self._unsent_cancels, ping=self._unsent_ping)
+        self._unsent_cancels, self._unsent_ping = [], 0
         requests = self._pop_requests()
         if requests:
             message.requests.extend(requests)
--- a/tests/test_operator_service.py
+++ b/tests/test_operator_service.py
@@ -26,7 +26,7 @@
 MEMBERS = log_pb2.Membership(members=[log_pb2.Member(node_id="other/1", voter=True)])
 
 
-class World:
+class Harness:
     """A server with fake controllers; `proposed` holds the commands that reached the log."""
 
     def __init__(self):
@@ -125,10 +125,10 @@
     ],
 )
 def test_invalid_change_is_rejected_before_it_is_proposed(request_, error, message_part):
-    world = World()
+    harness = Harness()
     with pytest.raises(error, match=message_part):
-        world.call("ApplyChange", request_)
-    assert world.proposed == []
+        harness.call("ApplyChange", request_)
+    assert harness.proposed == []
 
 
 @pytest.mark.parametrize(
@@ -140,44 +140,44 @@
     ],
 )
 def test_error_of_the_replicated_state_keeps_its_type(code, error):
-    world = World()
-    world.results = [log_pb2.CommandResult(code=code, version=9, message="m")]
+    harness = Harness()
+    harness.results = [log_pb2.CommandResult(code=code, version=9, message="m")]
     with pytest.raises(error) as caught:
-        world.call("ApplyChange", put())
+        harness.call("ApplyChange", put())
     assert getattr(caught.value, "current_version", 9) == 9
 
 
 def test_change_without_quorum_has_outcome_unknown():
     # An earlier attempt with the same change id may have been committed.
-    world = World()
-    world.error = NoQuorum(outcome=Outcome.NOT_RUN)
+    harness = Harness()
+    harness.error = NoQuorum(outcome=Outcome.NOT_RUN)
     with pytest.raises(NoQuorum) as caught:
-        world.call("ApplyChange", put())
+        harness.call("ApplyChange", put())
     assert caught.value.outcome is Outcome.UNKNOWN
 
 
 def test_drain_is_retried_with_the_current_version_and_another_change_id():
     # With the same change id, each retry would get the stored result: the conflict.
-    world = World()
-    world.records.append(peer_pb2.VmRecord(vm_id="vm2"))
+    harness = Harness()
+    harness.records.append(peer_pb2.VmRecord(vm_id="vm2"))
     conflict = log_pb2.CommandResult(code=log_pb2.RESULT_CODE_VERSION_CONFLICT, version=8)
-    world.results = [conflict, OK]
+    harness.results = [conflict, OK]
     request = operator_pb2.DrainRequest(vm_id="vm2", drained=True, change_id="d")
-    assert world.call("DrainVm", request).revision == 3
-    assert [(c.change_id, c.expected_version) for c in world.proposed] == [("d", 0), ("d/1", 8)]
+    assert harness.call("DrainVm", request).revision == 3
+    assert [(c.change_id, c.expected_version) for c in harness.proposed] == [("d", 0), ("d/1", 8)]
 
 
 def test_drain_of_an_unknown_vm_is_rejected():
     request = operator_pb2.DrainRequest(vm_id="typo", drained=True, change_id="d")
     with pytest.raises(NotFound):
-        World().call("DrainVm", request)
+        Harness().call("DrainVm", request)
 
 
 def test_status_shows_unreachable_and_forgotten_vms():
-    world = World()
-    world.records.append(peer_pb2.VmRecord(vm_id="gone", host="127.0.0.1", port=9))
-    world.consensus.membership = MEMBERS
-    reply = world.call("Status", operator_pb2.StatusRequest())
+    harness = Harness()
+    harness.records.append(peer_pb2.VmRecord(vm_id="gone", host="127.0.0.1", port=9))
+    harness.consensus.membership = MEMBERS
+    reply = harness.call("Status", operator_pb2.StatusRequest())
     shown = {vm.record.vm_id: vm.reachable for vm in reply.vms}
     assert shown == {"own": True, "gone": False, "other": False}
     assert reply.leader_revision == 4
@@ -185,96 +185,96 @@
 
 def test_status_shows_a_vm_as_unreachable_if_another_one_uses_its_address():
     # A VM that was replaced at its address was shown as reachable, with the state of the new VM.
-    world = World()
+    harness = Harness()
 
     async def scenario(stub):
-        host, _, port = world.address.rpartition(":")
-        world.records.append(peer_pb2.VmRecord(vm_id="replaced", host=host, port=int(port)))
+        host, _, port = harness.address.rpartition(":")
+        harness.records.append(peer_pb2.VmRecord(vm_id="replaced", host=host, port=int(port)))
         return await stub.Status(operator_pb2.StatusRequest())
 
-    shown = {vm.record.vm_id: vm.reachable for vm in world.run(scenario).vms}
+    shown = {vm.record.vm_id: vm.reachable for vm in harness.run(scenario).vms}
     assert shown == {"own": True, "replaced": False}
 
 
 def test_voter_change_is_retried_when_the_leader_changes():
-    world = World()
-    world.consensus.is_leader = True
-    world.voter_error = NotLeader()
+    harness = Harness()
+    harness.consensus.is_leader = True
+    harness.voter_error = NotLeader()
 
     async def scenario(stub):
         request = operator_pb2.MemberRequest(node_id="n", timeout_ms=3000)
         call = asyncio.ensure_future(stub.RemoveVoter(request))
-        while len(world.calls) < 2:
+        while len(harness.calls) < 2:
             await asyncio.sleep(0.01)
-        world.voter_error = None
+        harness.voter_error = None
         return await call
 
-    assert world.run(scenario).membership == MEMBERS
+    assert harness.run(scenario).membership == MEMBERS
 
 
 def test_forwarded_voter_change_is_not_forwarded_again():
     # Two VMs that each presume the other to be the leader would forward the call endlessly.
-    world = World()
-    world.voter_error = NotLeader(leader_address="127.0.0.1:9")
+    harness = Harness()
+    harness.voter_error = NotLeader(leader_address="127.0.0.1:9")
     with pytest.raises(NotLeader):
-        world.call("AddVoter", operator_pb2.MemberRequest(address="a", forwarded=True))
-    assert len(world.calls) == 1
+        harness.call("AddVoter", operator_pb2.MemberRequest(address="a", forwarded=True))
+    assert len(harness.calls) == 1
 
 
 def test_voter_change_without_a_leader_fails():
     with pytest.raises(NoQuorum):
-        World().call("AddVoter", operator_pb2.MemberRequest(address="a", timeout_ms=300))
+        Harness().call("AddVoter", operator_pb2.MemberRequest(address="a", timeout_ms=300))
 
 
 def test_voter_change_switches_from_an_unresponsive_leader_to_the_new_one():
     # A call to a leader that accepts connections but never replies used up the whole timeout.
-    world = World()
+    harness = Harness()
 
     async def scenario(stub):
         frozen = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         port = frozen.sockets[0].getsockname()[1]
-        world.consensus.leader_address = lambda: f"127.0.0.1:{port}"
+        harness.consensus.leader_address = lambda: f"127.0.0.1:{port}"
         request = operator_pb2.MemberRequest(node_id="n", timeout_ms=20_000)
         call = asyncio.ensure_future(stub.RemoveVoter(request, timeout=21))
         await asyncio.sleep(0.2)
         assert not call.done()
-        world.consensus.leader_address = lambda: world.address
+        harness.consensus.leader_address = lambda: harness.address
         reply = await asyncio.wait_for(call, 5)
         frozen.close()
         return reply
 
-    assert world.run(scenario).membership == MEMBERS
+    assert harness.run(scenario).membership == MEMBERS
 
 
 def test_voter_change_that_may_have_run_has_outcome_unknown():
     # The first attempt may have been committed; only the last one is known to have failed.
-    world = World()
+    harness = Harness()
 
     async def scenario(stub):
         frozen = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         port = frozen.sockets[0].getsockname()[1]
-        world.consensus.leader_address = lambda: f"127.0.0.1:{port}"
+        harness.consensus.leader_address = lambda: f"127.0.0.1:{port}"
         request = operator_pb2.MemberRequest(node_id="n", timeout_ms=1500)
         call = asyncio.ensure_future(stub.RemoveVoter(request))
         await asyncio.sleep(0.2)
-        world.voter_error = NotLeader()
-        world.consensus.is_leader = True
-        world.consensus.leader_address = lambda: world.address
+        harness.voter_error = NotLeader()
+        harness.consensus.is_leader = True
+        harness.consensus.leader_address = lambda: harness.address
         frozen.close()
         await call
 
     with pytest.raises((NotLeader, NoQuorum)) as caught:
-        world.run(scenario)
-    assert caught.value.outcome is Outcome.UNKNOWN and world.calls
+        harness.run(scenario)
+    assert caught.value.outcome is Outcome.UNKNOWN and harness.calls
 
 
 def test_dump_of_this_vm_and_of_an_unknown_one():
-    world = World()
-    assert json.loads(world.call("Dump", operator_pb2.DumpRequest()).json) == {"a": 1}
+    harness = Harness()
+    assert json.loads(harness.call("Dump", operator_pb2.DumpRequest()).json) == {"a": 1}
     with pytest.raises(NotFound):
-        world.call("Dump", operator_pb2.DumpRequest(vm_id="typo"))
+        harness.call("Dump", operator_pb2.DumpRequest(vm_id="typo"))
 
 
 def test_unknown_service_raises_a_typed_error():
     with pytest.raises(UnknownService):
-        World().call("GetService", operator_pb2.GetServiceRequest(name=""))
+        Harness().call("GetService", operator_pb2.GetServiceRequest(name=""))
