--- a/bramleycrank/transport/target_session.py
+++ b/bramleycrank/transport/target_session.py
@@ -87,7 +87,7 @@
     def start(self, open_timeout_s: float) -> None:
         """Connect; calls `on_open`, or `on_closed` after a failure or `open_timeout_s`."""
         self._task = asyncio.ensure_future(self._run(open_timeout_s))
-        # Not a `finally` in `_run`, because a task that is cancelled before its start never runs it.
+        # Not a `finally` in `_run`, which a task that is cancelled before its start never runs.
         self._task.add_done_callback(self._on_task_done)
 
     def send(self, request: SubRequest) -> None:
