--- a/bramleycrank/transport/change_checks.py
+++ b/bramleycrank/transport/change_checks.py
@@ -12,7 +12,7 @@
 from bramleycrank.proto import log_pb2
 from bramleycrank.query.types import CLASSES, READ_KINDS
 
-# The same limit as for the bodies of callers; no valid change comes near it.
+# The same limit as for the bodies of callers; valid changes are far smaller.
 MAX_CHANGE_BYTES = 64 * 1024
 
 MAX_NAME_CHARS = 128
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -155,11 +155,11 @@
 @pytest.mark.parametrize(("body", "code", "names"), BAD)
 def test_invalid_body_gets_one_typed_error_with_all_problems(body, code: int, names: list) -> None:
     async def scenario(server: Server) -> None:
-        status, _, answer = await server.post(body)
+        status, _, response = await server.post(body)
         assert status == 400
-        assert answer["error"]["code"] == code
+        assert response["error"]["code"] == code
         for name in names:
-            assert f"{name}: " in answer["error"]["message"]
+            assert f"{name}: " in response["error"]["message"]
         assert not server.executor.requests
         assert (await server.post(GOOD))[0] == 200
 
--- a/tests/test_http_endless.py
+++ b/tests/test_http_endless.py
@@ -116,20 +116,20 @@
     """Send until the peer closes; return its response and the number of bytes that were sent."""
     start, piece, _ = message_parts
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    answer = asyncio.ensure_future(reader.read(PIECE_BYTES))
+    response = asyncio.ensure_future(reader.read(PIECE_BYTES))
     sent = 0
     try:
         for data in endless((start, piece)):
             writer.write(data)
             await writer.drain()
             sent += len(data)
-            if answer.done():
+            if response.done():
                 break
     except ConnectionError:
         pass
     writer.transport.abort()
-    await asyncio.wait([answer])
-    return (b"" if answer.exception() else answer.result()), sent
+    await asyncio.wait([response])
+    return (b"" if response.exception() else response.result()), sent
 
 
 @pytest.mark.parametrize("address", ["entry", "control"])
@@ -177,9 +177,9 @@
         for _ in range(60):
             writer.write(b"GET /one/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n\r\n" * 4)
             await writer.drain()
-            answers = b""
-            while answers.count(b"hello") < 4:
-                answers += await reader.read(PIECE_BYTES)
+            responses = b""
+            while responses.count(b"hello") < 4:
+                responses += await reader.read(PIECE_BYTES)
         writer.close()
         assert world.server.receive_budget.held_bytes == 0
 
@@ -194,18 +194,18 @@
         conns = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(12)]
         for _, writer in conns:
             writer.write(HEAD + b"Content-Length: 900\r\n\r\n" + b"x" * 600)
-        answers = [asyncio.ensure_future(reader.read(PIECE_BYTES)) for reader, _ in conns]
+        responses = [asyncio.ensure_future(reader.read(PIECE_BYTES)) for reader, _ in conns]
         await asyncio.sleep(0.2)
-        refused = [task.result() for task in answers if task.done()]
-        assert refused and all(status(answer) == 503 for answer in refused)
-        assert all(b"Retry-After: " in answer for answer in refused)
-        for task, (_, writer) in zip(answers, conns, strict=True):
+        refused = [task.result() for task in responses if task.done()]
+        assert refused and all(status(response) == 503 for response in refused)
+        assert all(b"Retry-After: " in response for response in refused)
+        for task, (_, writer) in zip(responses, conns, strict=True):
             if not task.done():
                 writer.write(b"x" * 300)
-        served = await asyncio.gather(*answers)
-        assert {status(answer) for answer in served} == {200, 503}
+        served = await asyncio.gather(*responses)
+        assert {status(response) for response in served} == {200, 503}
         # A body within an equal share of the memory is never refused.
-        assert sum(status(answer) == 200 for answer in served) >= 4000 // 1000
+        assert sum(status(response) == 200 for response in served) >= 4000 // 1000
         assert world.server.receive_budget.held_bytes == 0
 
     run(scenario, a1=ok)
--- a/tests/test_operator_service.py
+++ b/tests/test_operator_service.py
@@ -27,7 +27,7 @@
 
 
 class Harness:
-    """A server with fake controllers; `proposed` holds the commands that reached the log."""
+    """A server with fake controllers; `proposed` contains the commands that reached the log."""
 
     def __init__(self):
         self.proposed = []
@@ -231,8 +231,8 @@
     harness = Harness()
 
     async def scenario(stub):
-        frozen = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-        port = frozen.sockets[0].getsockname()[1]
+        unresponsive_leader = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
+        port = unresponsive_leader.sockets[0].getsockname()[1]
         harness.consensus.leader_address = lambda: f"127.0.0.1:{port}"
         request = operator_pb2.MemberRequest(node_id="n", timeout_ms=20_000)
         call = asyncio.ensure_future(stub.RemoveVoter(request, timeout=21))
@@ -240,7 +240,7 @@
         assert not call.done()
         harness.consensus.leader_address = lambda: harness.address
         reply = await asyncio.wait_for(call, 5)
-        frozen.close()
+        unresponsive_leader.close()
         return reply
 
     assert harness.run(scenario).membership == MEMBERS
@@ -251,8 +251,8 @@
     harness = Harness()
 
     async def scenario(stub):
-        frozen = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-        port = frozen.sockets[0].getsockname()[1]
+        unresponsive_leader = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
+        port = unresponsive_leader.sockets[0].getsockname()[1]
         harness.consensus.leader_address = lambda: f"127.0.0.1:{port}"
         request = operator_pb2.MemberRequest(node_id="n", timeout_ms=1500)
         call = asyncio.ensure_future(stub.RemoveVoter(request))
@@ -260,7 +260,7 @@
         harness.voter_error = NotLeader()
         harness.consensus.is_leader = True
         harness.consensus.leader_address = lambda: harness.address
-        frozen.close()
+        unresponsive_leader.close()
         await call
 
     with pytest.raises((NotLeader, NoQuorum)) as caught:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -167,13 +167,13 @@
 
 def respond(adapter: PlatformAdapter, method: bytes, target: bytes, body: bytes, **service):
     """Return status and body of a control call; `service` contains the methods of the service."""
-    answers = []
+    responses = []
     exchange = SimpleNamespace(
         request=Request(method, target, b"h", [], body),
-        respond=lambda status, headers, body: answers.append((status, body)),
+        respond=lambda status, headers, body: responses.append((status, body)),
     )
     asyncio.run(adapter.control(exchange, SimpleNamespace(**service)))
-    return answers[0]
+    return responses[0]
 
 
 def raises_error(error: Exception):
