--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -76,6 +76,6 @@
             # gossip is partitioned.
             self._by_vm.pop(record.vm_id, None)
             if record.vm_id != self._own_record.vm_id:
-                self._clients.forget(address)
+                self._clients.close_peer(address)
         else:
             self._by_vm[record.vm_id] = address
--- a/bramleycrank/daemon/entry_answers.py
+++ b/bramleycrank/daemon/entry_answers.py
@@ -6,7 +6,7 @@
 from bramleycrank.routing import Route
 from bramleycrank.scatter import Answer, Merged, Refusal, merge_records
 from bramleycrank.scatter.types import FinalAction
-from bramleycrank.transport.http1.messages import Headers, end_to_end
+from bramleycrank.transport.http1.messages import Headers, end_to_end_headers
 
 
 def render(
@@ -15,7 +15,7 @@
     """Return status, headers and body of the response, and the outcome for the log."""
     match outcome:
         case Answer(answer=answer):
-            return answer.status, end_to_end(answer.headers), answer.body, "answered"
+            return answer.status, end_to_end_headers(answer.headers), answer.body, "answered"
         case Merged():
             receipts = [part.receipt for part in outcome.parts]
             body = merge_records((part.body for part in outcome.parts), outcome.top_records)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -34,7 +34,7 @@
 from bramleycrank.scatter.delivery import DeliveryEstimate
 from bramleycrank.scatter.retry_after import add_jitter, startup_retry_after
 from bramleycrank.transport.http1 import Exchange, RequestTemplate, Response
-from bramleycrank.transport.http1.messages import size_of
+from bramleycrank.transport.http1.messages import headers_size
 
 log = logging.getLogger(__name__)
 
@@ -177,7 +177,7 @@
         )
         call = Call(exchange, meta, execution)
         self._calls.add(call)
-        exchange.on_gone = lambda: self._on_caller_disconnected(call)
+        exchange.on_disconnected = lambda: self._on_caller_disconnected(call)
         self._execute(call, execution.start(now))
 
     def _on_caller_disconnected(self, call: Call) -> None:
@@ -355,7 +355,7 @@
         # On an open connection the caller's next request would reach this isolated VM again.
         close = isinstance(action, Refusal) and self._is_cut_off()
         call.exchange.respond(status, headers, body, close=close)
-        self._delivery.on_answer(route, len(body) + size_of(headers))
+        self._delivery.on_answer(route, len(body) + headers_size(headers))
         now = self._clock()
         latency_s = now - call.exchange.arrived
         self._metrics.incr(f"entry.answers.{status}")
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -25,7 +25,7 @@
 from bramleycrank.routing import Limits
 from bramleycrank.scatter.budget import RetryBudgetConfig
 from bramleycrank.settings import Address, Settings
-from bramleycrank.transport.http1 import Exchange, Http1Server, IntakeBudget
+from bramleycrank.transport.http1 import Exchange, Http1Server, ReceiveBudget
 from bramleycrank.transport.http1.server_connection import ServerConnection
 from bramleycrank.transport.peer_service import PeerService
 
@@ -252,8 +252,8 @@
         self._servers.append(self._caller_server)
         await self._caller_server.start(address.host, address.port)
 
-    def _new_intake_budget(self) -> IntakeBudget[ServerConnection]:
-        return IntakeBudget.from_memory(self._cfg.memory_bytes)
+    def _new_intake_budget(self) -> ReceiveBudget[ServerConnection]:
+        return ReceiveBudget.from_memory(self._cfg.memory_bytes)
 
     async def _listen(
         self, address: Address | None, handler: FunctionHandler, limits: Limits | None = None
--- a/bramleycrank/transport/http1/server.py
+++ b/bramleycrank/transport/http1/server.py
@@ -1,4 +1,4 @@
-"""Server side: listens on one address, and applies time limits to its connections."""
+"""Server side: listens on one address and applies timeouts to its connections."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from bramleycrank.observability.request_log import RequestLog
 from bramleycrank.routing import Limits
-from bramleycrank.transport.http1.intake import IntakeBudget
+from bramleycrank.transport.http1.receive_budget import ReceiveBudget
 from bramleycrank.transport.http1.server_connection import Handler, ServerConnection
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 0.25
-"""Time between two checks of the time limits of all connections, in seconds."""
+TIMEOUT_CHECK_S = 0.25
+"""Interval between two timeout checks of all connections, in seconds."""
 
 
 class Http1Server:
@@ -25,10 +25,10 @@
     Parameters
     ----------
     handler : Handler
-        Answers the requests.
+        Handles the requests.
     limits : callable
         Returns the limits in force.
-    intake : IntakeBudget, optional
+    receive_budget : ReceiveBudget, optional
         Memory for the requests of all connections.
     """
 
@@ -36,11 +36,11 @@
         self,
         handler: Handler,
         limits: Callable[[], Limits] = Limits,
-        intake: IntakeBudget[ServerConnection] | None = None,
+        receive_budget: ReceiveBudget[ServerConnection] | None = None,
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.intake = intake or IntakeBudget()
+        self.receive_budget = receive_budget or ReceiveBudget()
         self.draining = False
         self.connections: set[ServerConnection] = set()
         self.refusals = RequestLog(log, time.monotonic)
@@ -53,10 +53,10 @@
         self._server = await loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=backlog
         )
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+        self._timer = loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
 
     def stop_listening(self) -> None:
-        """Accept no more connections, and close those without a request."""
+        """Stop accepting connections, and close those without a request."""
         self.draining = True
         if self._server is not None:
             self._server.close()
@@ -65,11 +65,11 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any connection has a request or an unwritten response."""
+        """Whether any connection has a request or unsent response data."""
         return any(connection.busy for connection in self.connections)
 
     def close(self) -> None:
-        """Cut what is left."""
+        """Stop listening and abort all connections."""
         self.stop_listening()
         if self._timer is not None:
             self._timer.cancel()
@@ -81,9 +81,9 @@
         busy = sum(connection.busy for connection in self.connections)
         return {"connections": len(self.connections), "busy": busy, "draining": self.draining}
 
-    def _sweep(self) -> None:
+    def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         for connection in list(self.connections):
-            connection.sweep(now)
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+            connection.check_timeouts(now)
+        self._timer = loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
