--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements with real daemons, stand-in targets and open-loop load."""
+"""Benchmarks with real daemons, stand-in targets and open-loop load."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the measurements: ``python -m bench``."""
+"""Command line of the benchmarks: ``python -m bench``."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from bench.scenarios import SCENARIOS
 from bench.shapes import SHAPES
 
-RESULTS = Path(__file__).parent / "results"
+RESULTS_DIR = Path(__file__).parent / "results"
 
 
 class Bench:
-    """Measurements with real daemons and stand-in targets."""
+    """Benchmarks with real daemons and stand-in targets."""
 
     def run(
         self,
@@ -32,26 +32,26 @@
         seed: int = 1,
         out: str = "policy",
     ) -> None:
-        """Run the scenarios with the baseline and the product in turn.
+        """Run the scenarios with the baseline policy and the adaptive policy in turn.
 
         Parameters
         ----------
         shapes, scenarios : str
             Names, separated by commas.
         seconds : float
-            Recorded length of each scenario, in s.
+            Duration of the recorded load of each scenario, in s.
         rate : float
-            Calm load in requests a second.
+            Request rate of the calm scenario, in requests/s.
         seed : int
-            Seed of load and targets.
+            Random seed of the load generator and of the targets.
         out : str
             Name of the result file.
         """
         logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(message)s")
-        results = {"about": about(seconds=seconds, rate=rate, seed=seed), "shapes": {}}
-        for name in words(shapes):
+        results = {"about": describe_run(seconds=seconds, rate=rate, seed=seed), "shapes": {}}
+        for name in split_list(shapes):
             measurement = Measurement(SHAPES[name], rate, seconds, seed)
-            results["shapes"][name] = asyncio.run(run_all(measurement, words(scenarios)))
+            results["shapes"][name] = asyncio.run(run_all(measurement, split_list(scenarios)))
             write(out, results)
 
     def ablate(
@@ -63,70 +63,80 @@
         mechanisms: str = "",
         jobs: int = 3,
     ) -> None:
-        """Play days with each mechanism left out and print what it is worth.
+        """Replay days of the users' benchmark with each mechanism disabled and print the scores.
 
         Parameters
         ----------
         player : str
-            Program of the users' bench.
+            Program of the users' benchmark that replays a day.
         checkout : str
-            A worktree of its own, whose sources are changed meanwhile.
+            Separate git worktree; its sources are edited during the run and restored afterwards.
         days : str
-            Site file and name of each day, as ``SITE:DAY``.
+            Site file and name of each day to replay, as ``SITE:DAY``.
         out : str
-            Name of the result file; days that it has are not played again.
+            Name of the result file; days that it already contains are skipped.
         mechanisms : str
-            Names, separated by commas; all by default.
+            Names of mechanisms, separated by commas; all by default.
         jobs : int
-            Days that are played at a time.
+            Number of days that are replayed in parallel.
         """
-        split = [day.rpartition(":") for day in days]
+        site_days = [day.rpartition(":") for day in days]
         plan = ablation.Ablation(
             Path(player),
             Path(checkout),
-            tuple((Path(site), day) for site, _, day in split),
-            RESULTS / f"{out}.json",
+            tuple((Path(site), day) for site, _, day in site_days),
+            RESULTS_DIR / f"{out}.json",
             jobs,
         )
-        names = words(mechanisms) if mechanisms else [m.name for m in MECHANISMS]
+        names = split_list(mechanisms) if mechanisms else [m.name for m in MECHANISMS]
         print(ablation.table(plan.run(names)))
 
     def control(self, changes: int = 100, recoveries: int = 10, out: str = "control") -> None:
-        """Measure how soon changes are in force and how soon a lost leader is replaced."""
+        """Measure how fast changes come into force and how fast a failed leader is replaced.
+
+        Parameters
+        ----------
+        changes : int
+            Number of configuration changes.
+        recoveries : int
+            Number of leader failures.
+        out : str
+            Name of the result file.
+        """
         logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(message)s")
-        figures = asyncio.run(control.measure(SHAPES["battaglio"], changes, recoveries))
-        write(out, {"about": about(changes=changes, recoveries=recoveries), **figures})
+        measured = asyncio.run(control.measure(SHAPES["battaglio"], changes, recoveries))
+        write(out, {"about": describe_run(changes=changes, recoveries=recoveries), **measured})
 
     def slopes(self, parts: str = ",".join(slopes.PARTS), out: str = "slopes") -> None:
-        """Measure the slopes that the capacity page rests on; other parts of the file stay.
+        """Measure how cost grows with size and update these parts of the result file.
 
         Parameters
         ----------
         parts : str
-            Names, separated by commas. The idle parts count all bytes on loopback, so they need
-            a machine without other traffic.
+            Names of parts, separated by commas. The idle parts count all bytes sent over
+            loopback, so they need a machine without other traffic.
         out : str
             Name of the result file.
         """
         logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(message)s")
-        path = RESULTS / f"{out}.json"
+        path = RESULTS_DIR / f"{out}.json"
         results = json.loads(path.read_text()) if path.exists() else {}
-        for part in words(parts):
-            results |= {"about": about(), part: slopes.PARTS[part]()}
+        for part in split_list(parts):
+            results |= {"about": describe_run(), part: slopes.PARTS[part]()}
             write(out, results)
 
     def report(self) -> None:
         """Write docs/measurements.md from the result files."""
-        report.write(RESULTS)
+        report.write(RESULTS_DIR)
 
 
-def words(value: object) -> list[str]:
-    """Return the parts of a list option; fire turns plain words with commas into a tuple."""
+def split_list(value: object) -> list[str]:
+    """Return the items of a list option; fire parses words separated by commas as a tuple."""
     return value.split(",") if isinstance(value, str) else [str(item) for item in value]
 
 
-def about(**parameters: float) -> dict[str, object]:
-    """Return when and where a result was measured."""
+def describe_run(**parameters: float) -> dict[str, object]:
+    """Return the date, the Python version and the parameters of a run."""
     return {
         "date": time.strftime("%Y-%m-%d %H:%M UTC", time.gmtime()),
         "python": platform.python_version(),
@@ -135,9 +145,9 @@
 
 
 def write(name: str, results: dict[str, object]) -> None:
-    """Write one result file."""
-    RESULTS.mkdir(exist_ok=True)
-    (RESULTS / f"{name}.json").write_text(json.dumps(results, indent=1, sort_keys=True) + "\n")
+    """Write results as a JSON file to the results folder."""
+    RESULTS_DIR.mkdir(exist_ok=True)
+    (RESULTS_DIR / f"{name}.json").write_text(json.dumps(results, indent=1, sort_keys=True) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,4 +1,4 @@
-"""Plays days of the users' bench with each mechanism left out, and tells what it is worth."""
+"""Scores days of the users' benchmark with each mechanism disabled."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from bench.mechanisms import MECHANISMS, Mechanism
 
-WORTH = re.compile(r"^worth (-?[\d.]+) = ", re.MULTILINE)
-BROKEN = re.compile(
+SCORE_PATTERN = re.compile(r"^worth (-?[\d.]+) = ", re.MULTILINE)
+VIOLATION_PATTERN = re.compile(
     r"^.*\b(?:MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|RECOVER)\b.*$",
     re.MULTILINE,
 )
@@ -23,20 +23,20 @@
 
 @attrs.frozen
 class Ablation:
-    """What to play and where.
+    """An ablation run over several days.
 
     Parameters
     ----------
     player : Path
-        Program of the users' bench.
+        Program of the users' benchmark that replays a day.
     checkout : Path
-        A worktree of its own; its sources are changed and restored.
+        Separate git worktree; its sources are edited during the run and restored afterwards.
     days : tuple of (Path, str)
         Site files and names of days.
     out : Path
-        File of results, which a later run goes on with.
+        Result file; a later run adds the missing days to it.
     jobs : int
-        Days that are played at a time.
+        Number of days that are replayed in parallel.
     """
 
     player: Path
@@ -46,69 +46,69 @@
     jobs: int
 
     def run(self, names: Iterable[str]) -> dict[str, dict[str, float]]:
-        """Play what the file of results lacks; return worth by mechanism and day."""
+        """Replay the days that the result file lacks and return all scores by mechanism and day."""
         results = json.loads(self.out.read_text()) if self.out.exists() else {}
-        wanted = set(names)
+        selected = set(names)
         for mechanism in MECHANISMS:
-            if mechanism.name not in wanted:
+            if mechanism.name not in selected:
                 continue
-            known = results.setdefault(mechanism.name, {})
-            left = [day for day in self.days if _label(day) not in known]
-            if left:
-                known.update(self._play(mechanism, left))
+            scores = results.setdefault(mechanism.name, {})
+            missing_days = [day for day in self.days if _day_label(day) not in scores]
+            if missing_days:
+                scores.update(self._replay_days(mechanism, missing_days))
                 self.out.write_text(json.dumps(results, indent=1))
         return results
 
-    def _play(self, mechanism: Mechanism, days: list[tuple[Path, str]]) -> dict[str, float]:
-        restore = ["git", "-C", str(self.checkout), "checkout", "-q", "--", "bramleycrank"]
-        subprocess.run(restore, check=True)
+    def _replay_days(self, mechanism: Mechanism, days: list[tuple[Path, str]]) -> dict[str, float]:
+        restore_command = ["git", "-C", str(self.checkout), "checkout", "-q", "--", "bramleycrank"]
+        subprocess.run(restore_command, check=True)
         for edit in mechanism.edits:
             edit.apply(self.checkout)
         try:
             with concurrent.futures.ThreadPoolExecutor(self.jobs) as pool:
-                worths = pool.map(lambda day: self._play_day(mechanism, *day), days)
-                return dict(zip(map(_label, days), worths, strict=True))
+                day_scores = pool.map(lambda day: self._replay_day(mechanism, *day), days)
+                return dict(zip(map(_day_label, days), day_scores, strict=True))
         finally:
-            subprocess.run(restore, check=True)
+            subprocess.run(restore_command, check=True)
 
-    def _play_day(self, mechanism: Mechanism, site: Path, day: str) -> float:
-        why = f"Ablation: without {mechanism.name}" if mechanism.edits else "Ablation: whole"
-        command = [str(self.player), "run", str(site), day, "--no-cpu", "--why", why]
-        # A file, not a pipe: a process that the player leaves behind would keep a pipe open.
+    def _replay_day(self, mechanism: Mechanism, site: Path, day: str) -> float:
+        reason = f"Ablation: without {mechanism.name}" if mechanism.edits else "Ablation: whole"
+        command = [str(self.player), "run", str(site), day, "--no-cpu", "--why", reason]
+        # A file instead of a pipe: an orphaned child of the player would keep the pipe open.
         with tempfile.TemporaryFile("w+") as out:
             subprocess.run(
                 command, cwd=self.checkout, stdin=subprocess.DEVNULL, stdout=out, stderr=out
             )
             out.seek(0)
-            report = out.read()
-        found = WORTH.search(report)
-        if found is None:
-            raise RuntimeError(f"{day} without {mechanism.name}: {report[-300:]}")
-        for line in BROKEN.findall(report):
+            output = out.read()
+        match = SCORE_PATTERN.search(output)
+        if match is None:
+            raise RuntimeError(f"{day} without {mechanism.name}: {output[-300:]}")
+        for line in VIOLATION_PATTERN.findall(output):
             print(f"{day} without {mechanism.name}: {line}")
-        return float(found[1])
+        return float(match[1])
 
 
 def table(results: dict[str, dict[str, float]]) -> str:
-    """Return the table of what each mechanism is worth by day, in thousandths."""
-    whole = results[MECHANISMS[0].name]
-    days = list(whole)
+    """Return a Markdown table of the change in score per disabled mechanism, in thousandths."""
+    reference = results[MECHANISMS[0].name]
+    days = list(reference)
     lines = [
         f"| left out | load | {' | '.join(days)} | mean |",
         "|---|---|" + "---|" * (len(days) + 1),
-        f"| nothing | worth | {' | '.join(f'{whole[day]:.3f}' for day in days)} | "
-        f"{sum(whole.values()) / len(days):.3f} |",
+        f"| nothing | worth | {' | '.join(f'{reference[day]:.3f}' for day in days)} | "
+        f"{sum(reference.values()) / len(days):.3f} |",
     ]
     for mechanism in MECHANISMS[1:]:
-        worths = results.get(mechanism.name, {})
-        if not all(day in worths for day in days):
+        day_scores = results.get(mechanism.name, {})
+        if not all(day in day_scores for day in days):
             continue
-        changes = [round(1000 * (worths[day] - whole[day])) for day in days]
+        changes = [round(1000 * (day_scores[day] - reference[day])) for day in days]
         cells = " | ".join(f"{change:+d}" for change in changes)
         mean = sum(changes) / len(changes)
         lines.append(f"| {mechanism.name} | {mechanism.load} | {cells} | {mean:+.0f} |")
     return "\n".join(lines)
 
 
-def _label(day: tuple[Path, str]) -> str:
+def _day_label(day: tuple[Path, str]) -> str:
     return f"{day[0].stem} {day[1]}"
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Measures the control plane: changes in force and recovery from a lost leader."""
+"""Measures the control plane: propagation of changes and recovery from a failed leader."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from pathlib import Path
 from typing import Any
 
-from bench.fleet import VOTERS, BenchFleet, Vm, resident_mb
+from bench.fleet import VOTER_COUNT, BenchFleet, Vm, resident_mb
 from bench.shapes import Shape
 from bramleycrank.exceptions import BramleycrankError
 from bramleycrank.proto import operator_pb2
 from harness.processes import until
 
-POLL_S = 0.02
-IDLE_S = 20.0
+POLL_INTERVAL_S = 0.02
+IDLE_DURATION_S = 20.0
 
 
 async def measure(shape: Shape, changes: int, recoveries: int) -> dict[str, Any]:
-    """Run both measurements and an idle one on one fleet."""
+    """Measure idle cost, propagation and recovery on one fleet."""
     with tempfile.TemporaryDirectory(prefix="bramleycrank-bench-") as name:
         fleet = BenchFleet(shape, "adaptive", Path(name), 1)
         try:
             await fleet.start()
             return {
-                "idle": await idle(fleet),
-                "in_force": await in_force(fleet, changes),
-                "recovery": await recovery(fleet, recoveries),
+                "idle": await measure_idle(fleet),
+                "in_force": await measure_propagation(fleet, changes),
+                "recovery": await measure_recovery(fleet, recoveries),
             }
         finally:
             fleet.close()
 
 
-async def idle(fleet: BenchFleet) -> dict[str, float]:
-    """Measure processor time and memory of VMs without load."""
+async def measure_idle(fleet: BenchFleet) -> dict[str, float]:
+    """Measure the processor share and the memory of VMs without load."""
     before = fleet.processor_s()
-    await asyncio.sleep(IDLE_S)
+    await asyncio.sleep(IDLE_DURATION_S)
     after = fleet.processor_s()
-    shares = [(after[name] - before[name]) / IDLE_S for name in after]
+    shares = [(after[name] - before[name]) / IDLE_DURATION_S for name in after]
     return {
         "processor_share_mean": sum(shares) / len(shares),
         "processor_share_max": max(shares),
@@ -47,40 +47,40 @@
     }
 
 
-async def in_force(fleet: BenchFleet, changes: int) -> dict[str, Any]:
-    """Measure the time from the accepted change to its revision on every VM."""
-    spread, accepted = [], []
+async def measure_propagation(fleet: BenchFleet, changes: int) -> dict[str, Any]:
+    """Measure the time until a change is accepted and until it is in force on every VM."""
+    propagation_times, accept_times = [], []
     service = fleet.shape.records.name
     version = await current_version(fleet, service)
     for number in range(changes):
         start = time.perf_counter()
         version = await fleet.put_service(service, version, queue_limit=200 + number % 2)
-        done = time.perf_counter()
-        await asyncio.gather(*(until_revision(vm, version) for vm in fleet.vms))
-        accepted.append(done - start)
-        spread.append(time.perf_counter() - done)
-    return {"accepted_s": quantiles(accepted), "everywhere_s": quantiles(spread)}
+        accepted_at = time.perf_counter()
+        await asyncio.gather(*(wait_for_revision(vm, version) for vm in fleet.vms))
+        accept_times.append(accepted_at - start)
+        propagation_times.append(time.perf_counter() - accepted_at)
+    return {"accepted_s": quantiles(accept_times), "everywhere_s": quantiles(propagation_times)}
 
 
 async def current_version(fleet: BenchFleet, service: str) -> int:
-    """Return the version of a service."""
+    """Return the current version of a service."""
     stub = fleet.clients.operator_stub(fleet.vms[0].address)
     reply = await stub.GetService(operator_pb2.GetServiceRequest(name=service))
     return reply.version
 
 
-async def until_revision(vm: Vm, revision: int) -> None:
-    """Wait until a VM has a revision in force."""
+async def wait_for_revision(vm: Vm, revision: int) -> None:
+    """Wait until a configuration revision is in force on a VM."""
 
-    async def reached() -> bool:
+    async def is_in_force() -> bool:
         return await vm.revision() >= revision
 
-    await until(reached, f"{vm.vm_id} has revision {revision}", 30, POLL_S)
+    await until(is_in_force, f"{vm.vm_id} has revision {revision}", 30, POLL_INTERVAL_S)
 
 
-async def recovery(fleet: BenchFleet, rounds: int) -> dict[str, Any]:
-    """Measure the time from the leader's end to the next accepted change."""
-    times = []
+async def measure_recovery(fleet: BenchFleet, rounds: int) -> dict[str, Any]:
+    """Measure the time from killing the leader to the next accepted change."""
+    recovery_times = []
     service = fleet.shape.records.name
     for number in range(rounds):
         leader = await find_leader(fleet)
@@ -93,20 +93,20 @@
             lambda v=version, n=number: fleet.put_service(service, v, queue_limit=300 + n % 2),
             "a change is accepted again",
             30,
-            POLL_S,
+            POLL_INTERVAL_S,
         )
-        times.append(time.perf_counter() - start)
+        recovery_times.append(time.perf_counter() - start)
         fleet.vms[:] = sorted([*others, leader], key=lambda vm: int(vm.vm_id[2:]))
         leader.start()
-        await until(leader.ready, f"{leader.vm_id} is ready again", 40)
-    return {"rounds": rounds, "accepted_again_s": quantiles(times)}
+        await until(leader.is_ready, f"{leader.vm_id} is ready again", 40)
+    return {"rounds": rounds, "accepted_again_s": quantiles(recovery_times)}
 
 
 async def find_leader(fleet: BenchFleet) -> Vm:
-    """Return the VM that leads."""
+    """Return the VM of the leader."""
 
-    async def find() -> Vm | None:
-        for vm in fleet.vms[:VOTERS]:
+    async def find_once() -> Vm | None:
+        for vm in fleet.vms[:VOTER_COUNT]:
             with contextlib.suppress(BramleycrankError):
                 stub = fleet.clients.operator_stub(vm.address)
                 status = await stub.Status(operator_pb2.StatusRequest(local=True), timeout=2.0)
@@ -114,7 +114,7 @@
                     return vm
         return None
 
-    return await until(find, "a leader stands", 30)
+    return await until(find_once, "a leader is elected", 30)
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real daemons and stand-in targets for one measurement."""
+"""A fleet of real daemons and stand-in targets for one benchmark run."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from bramleycrank.transport.peer_client import PeerClients
 from harness.processes import HOST, Process, free_port, until
 
-VOTERS = 3
-START_LIMIT_S = 40.0
+VOTER_COUNT = 3
+START_TIMEOUT_S = 40.0
 
 SETTINGS = """
 [vm]
@@ -40,28 +40,28 @@
 
 
 class Vm:
-    """One daemon."""
+    """The daemon of one VM."""
 
     def __init__(self, fleet: BenchFleet, number: int, domain: str) -> None:
         self.vm_id = f"vm{number}"
         self.domain = domain
         self.http, self.grpc = free_port(), free_port()
-        self.voter = number <= VOTERS
+        self.voter = number <= VOTER_COUNT
         self.process: Process | None = None
         self._fleet = fleet
 
     @property
     def address(self) -> str:
-        """Address for VMs, targets and operators."""
+        """Address of the gRPC server for VMs, targets and operators."""
         return f"{HOST}:{self.grpc}"
 
     @property
     def url(self) -> str:
-        """Base URL for callers."""
+        """Base URL of the HTTP endpoints for callers."""
         return f"http://{HOST}:{self.http}"
 
     def start(self) -> None:
-        """Start the daemon."""
+        """Write the settings file and start the daemon."""
         fleet = self._fleet
         data = fleet.folder / f"{self.vm_id}-data"
         path = fleet.folder / f"{self.vm_id}.toml"
@@ -79,11 +79,11 @@
             ["bramleycrank.daemon.main", f"--settings={path}"], self.vm_id, self.domain
         )
 
-    async def ready(self) -> bool:
-        """Tell whether ``readyz`` is ok."""
-        return await asyncio.to_thread(self._ready)
+    async def is_ready(self) -> bool:
+        """Return whether ``/readyz`` responds with status 200."""
+        return await asyncio.to_thread(self._is_ready)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         try:
             with urllib.request.urlopen(f"{self.url}/readyz", timeout=2) as rsp:
                 return rsp.status == 200
@@ -91,25 +91,25 @@
             return False
 
     async def revision(self) -> int:
-        """Return the revision in force on this VM."""
+        """Return the configuration revision in force on this VM."""
         stub = self._fleet.clients.operator_stub(self.address)
         status = await stub.Status(operator_pb2.StatusRequest(local=True), timeout=2.0)
         return status.vms[0].revision
 
-    async def answers(self) -> bool:
-        """Tell whether the VM answers operators."""
+    async def is_responsive(self) -> bool:
+        """Return true if the operator API responds, and raise an error otherwise."""
         await self.revision()
         return True
 
     async def stop_gracefully(self) -> None:
-        """Send SIGTERM and wait for the end."""
+        """Send SIGTERM and wait until the daemon exits."""
         self.process.signal(signal.SIGTERM)
         process = self.process
         await until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
 
 
 class Targets:
-    """One stand-in process: the targets of one service in one domain."""
+    """The targets of one service in one domain, run by one stand-in process."""
 
     def __init__(self, fleet: BenchFleet, shape: ServiceShape, domain: str) -> None:
         self.shape = shape
@@ -119,11 +119,11 @@
         self._fleet = fleet
 
     async def start(self) -> None:
-        """Start the process and wait until it listens."""
+        """Start the process and wait until its targets listen."""
         fleet, shape = self._fleet, self.shape
-        near = [vm.address for vm in fleet.vms if vm.domain == self.domain]
+        local_vms = [vm.address for vm in fleet.vms if vm.domain == self.domain]
         options = {
-            "vms": ",".join(near),
+            "vms": ",".join(local_vms),
             "services": shape.name,
             "shards": shape.shards,
             "replicas": shape.replicas,
@@ -156,14 +156,14 @@
 
 
 class BenchFleet:
-    """All processes of one measurement.
+    """All processes of one benchmark run.
 
     Parameters
     ----------
     shape : Shape
-        The user's sizes.
+        VMs and services of the deployment.
     policy : str
-        ``adaptive`` or ``plain``.
+        Policy of the VMs: ``adaptive`` or ``plain``.
     folder : Path
         Folder for settings, data and logs.
     seed : int
@@ -178,14 +178,14 @@
         self.vms: list[Vm] = []
         for number in range(1, shape.vms + 1):
             self.vms.append(Vm(self, number, domains[(number - 1) % len(domains)]))
-        self.targets = [
+        self.target_groups = [
             Targets(self, service, domain)
             for service in (shape.search, shape.records)
             for domain in domains
         ]
 
     def spawn(self, arguments: list[str], name: str, domain: str) -> Process:
-        """Start a program of the project that can be cut off by signals."""
+        """Start a module of the project as a process whose domain can be partitioned by signals."""
         command = [sys.executable, "-m", "harness.partitioned", *arguments]
         env = {"BRAMLEYCRANK_CUT": str(self.folder / f"cut-{domain}")}
         process = Process(command, self.folder / f"{name}.log", env)
@@ -193,20 +193,28 @@
         return process
 
     async def start(self) -> None:
-        """Start everything and wait until a search covers all shards on every VM."""
+        """Start all processes and wait until searches through every VM have full coverage."""
         for vm in self.vms:
             vm.start()
-        await asyncio.gather(*(targets.start() for targets in self.targets))
+        await asyncio.gather(*(group.start() for group in self.target_groups))
         for vm in self.vms:
-            await until(lambda vm=vm: vm.answers(), f"{vm.vm_id} answers", START_LIMIT_S)
+            await until(
+                lambda vm=vm: vm.is_responsive(),
+                f"{vm.vm_id} responds to operators",
+                START_TIMEOUT_S,
+            )
         await self._configure()
         for vm in self.vms:
-            await until(vm.ready, f"{vm.vm_id} is ready", START_LIMIT_S)
+            await until(vm.is_ready, f"{vm.vm_id} is ready", START_TIMEOUT_S)
         for vm in self.vms:
-            await until(lambda vm=vm: self.covers(vm), f"{vm.vm_id} covers", START_LIMIT_S)
+            await until(
+                lambda vm=vm: self.has_full_coverage(vm),
+                f"{vm.vm_id} covers all shards",
+                START_TIMEOUT_S,
+            )
 
     async def _configure(self) -> None:
-        addresses = [vm.address for vm in self.vms[:VOTERS]]
+        addresses = [vm.address for vm in self.vms[:VOTER_COUNT]]
         stub = self.clients.operator_stub(self.vms[0].address)
         await stub.Bootstrap(operator_pb2.BootstrapRequest(addresses=addresses))
         for service in (self.shape.search, self.shape.records):
@@ -215,7 +223,7 @@
     async def put_service(
         self, name: str, expected: int, via: Vm | None = None, **fields: int
     ) -> int:
-        """Create or change a service through a VM, by default the last; return its version."""
+        """Create or change a service through a VM (default: the last) and return its version."""
         kinds = [log_pb2.KindConfig(name=self.shape.order_kind, idempotent=False)]
         service = log_pb2.ServiceConfig(name=name, kinds=kinds, **fields)
         change = log_pb2.Change(
@@ -225,11 +233,11 @@
         reply = await stub.ApplyChange(operator_pb2.ChangeRequest(change=change), timeout=6.0)
         return reply.version
 
-    async def covers(self, vm: Vm) -> bool:
-        """Tell whether a search through a VM covers all shards."""
-        return await asyncio.to_thread(self._covers, vm)
+    async def has_full_coverage(self, vm: Vm) -> bool:
+        """Return whether a search through a VM covers all shards."""
+        return await asyncio.to_thread(self._has_full_coverage, vm)
 
-    def _covers(self, vm: Vm) -> bool:
+    def _has_full_coverage(self, vm: Vm) -> bool:
         body = {
             "service": self.shape.search.name,
             "kind": "search",
@@ -248,40 +256,45 @@
         return coverage["answered"] == self.shape.search.shards
 
     def of_search(self) -> list[Targets]:
-        """Return the target processes of the search service."""
-        return [t for t in self.targets if t.shape is self.shape.search]
+        """Return the target groups of the search service."""
+        return [group for group in self.target_groups if group.shape is self.shape.search]
 
     def cut(self, domain: str) -> None:
-        """Cut a domain off from all others, without a sign to either side."""
-        inside = self._addresses(lambda d: d == domain)
-        outside = self._addresses(lambda d: d != domain)
+        """Partition a domain from all others by dropping messages without closing connections."""
+        inside = self._addresses(lambda other: other == domain)
+        outside = self._addresses(lambda other: other != domain)
         for name in self.shape.domains:
-            cut = outside if name == domain else inside
-            (self.folder / f"cut-{name}").write_text("\n".join(cut))
+            unreachable = outside if name == domain else inside
+            (self.folder / f"cut-{name}").write_text("\n".join(unreachable))
         self._signal_all(signal.SIGUSR1)
 
     def heal(self) -> None:
-        """Heal the cut."""
+        """Heal the partition."""
         self._signal_all(signal.SIGUSR2)
 
-    def _signal_all(self, number: signal.Signals) -> None:
+    def _signal_all(self, signum: signal.Signals) -> None:
         for process in self._processes:
-            process.signal(number)
-
-    def _addresses(self, wanted) -> list[str]:
-        vms = [vm.address for vm in self.vms if wanted(vm.domain)]
-        return vms + [a for t in self.targets if wanted(t.domain) for a in t.targets.values()]
+            process.signal(signum)
+
+    def _addresses(self, is_included) -> list[str]:
+        vms = [vm.address for vm in self.vms if is_included(vm.domain)]
+        return vms + [
+            address
+            for group in self.target_groups
+            if is_included(group.domain)
+            for address in group.targets.values()
+        ]
 
     def processor_s(self) -> dict[str, float]:
         """Return the processor time used so far by all VMs, in seconds."""
         return {vm.vm_id: _processor_s(vm.process.pid) for vm in self.vms}
 
     def close(self) -> None:
-        """End every process."""
+        """Close all channels and end all processes."""
         self.clients.close()
-        for targets in self.targets:
-            if targets.stub_channel is not None:
-                targets.stub_channel.close()
+        for group in self.target_groups:
+            if group.stub_channel is not None:
+                group.stub_channel.close()
         for process in self._processes:
             process.signal(signal.SIGCONT)
             process.reap()
--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the policies, and what leaves it out."""
+"""The mechanisms of the product and the constants that disable each of them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 import attrs
 
-NEVER = "1e9"
+NEVER_REACHED = "1e9"
 
 
 @attrs.frozen
 class Edit:
-    """A constant with the value that leaves a mechanism out."""
+    """A change of one constant that disables a mechanism."""
 
     module: str
     constant: str
     value: str
 
     def apply(self, root: Path) -> None:
-        """Change the constant in a checkout.
+        """Replace the value of the constant in a checkout.
 
         Raises
         ------
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Mechanism:
-    """A mechanism and its load pattern."""
+    """A mechanism, the load in which it matters and the edits that disable it."""
 
     name: str
     load: str
@@ -50,29 +50,33 @@
 POLICY, EXECUTION, TARGETS = "scatter/policy", "scatter/execution", "query/targets"
 
 MECHANISMS = (
-    Mechanism("all", "nothing left out"),
+    Mechanism("all", "nothing disabled"),
     _mechanism(
         "hedging",
-        "a part of the targets slow or pausing",
-        (POLICY, "LATEST_HEDGE_SHARE", NEVER),
+        "some targets slow or stalled",
+        (POLICY, "LATEST_HEDGE_SHARE", NEVER_REACHED),
         (POLICY, "MIN_SAMPLES", "10**9"),
     ),
     _mechanism(
-        "latest hedge time", "a fifth of the targets slow", (POLICY, "LATEST_HEDGE_SHARE", NEVER)
+        "latest hedge time",
+        "a fifth of the targets slow",
+        (POLICY, "LATEST_HEDGE_SHARE", NEVER_REACHED),
     ),
-    _mechanism("scarce quantile", "budgets half used", (POLICY, "SCARCE_QUANTILE", "0.92")),
+    _mechanism("scarce quantile", "retry budget half used", (POLICY, "SCARCE_QUANTILE", "0.92")),
     _mechanism(
         "wait for a stream of answers",
-        "many shards behind a thin link",
+        "many shards behind a low-bandwidth link",
         ("scatter/stream", "LATEST_STREAM_SHARE", "0.0"),
     ),
     _mechanism(
         "parts left out at the objective",
-        "both copies of a shard slow",
+        "both replicas of a shard slow",
         (EXECUTION, "DELIVERY_SHARE", "-1e6"),
     ),
     _mechanism(
-        "late answers wait for parts", "an objective missed", (EXECUTION, "LATE_FACTOR", "0.0")
+        "late answers wait for parts",
+        "a latency objective missed",
+        (EXECUTION, "LATE_FACTOR", "0.0"),
     ),
     _mechanism(
         "refusals are no attempts", "half of the targets shed", (EXECUTION, "MAX_REFUSED", "0")
@@ -95,25 +99,27 @@
         "refusals for load, near and far", "targets shed", (TARGETS, "SHED_DELAY_FACTOR", "0.0")
     ),
     _mechanism(
-        "bounded rise of latency", "single pauses", (TARGETS, "MAX_LATENCY_RISE_FACTOR", NEVER)
+        "bounded rise of latency",
+        "occasional stalls",
+        (TARGETS, "MAX_LATENCY_RISE_FACTOR", NEVER_REACHED),
     ),
     _mechanism("limits follow refusals", "targets shed", (TARGETS, "_SHED_FACTOR", "1.0")),
     _mechanism("limits follow queues", "demand above capacity", (TARGETS, "_QUEUED_FACTOR", "1.0")),
     _mechanism(
         "own domain first",
-        "copies in several domains",
+        "replicas in several domains",
         ("query/replicas", "LOCAL_PREFERENCE_FACTOR", "1.0"),
     ),
     _mechanism(
         "slow local target passed over",
-        "a copy slow",
-        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", NEVER),
+        "a replica slow",
+        ("query/replicas", "LOCAL_PREFERENCE_FACTOR", NEVER_REACHED),
     ),
     _mechanism("overtaken requests finish", "hedges", ("connections/http_pool", "LINGER_S", "0.0")),
     _mechanism(
         "silent targets tried by a connection",
-        "a domain cut off",
-        ("connections/http_pool", "SILENCE_S", NEVER),
+        "a domain partitioned",
+        ("connections/http_pool", "SILENCE_S", NEVER_REACHED),
     ),
     _mechanism("spread returns", "a fault ends", ("scatter/retry_after", "JITTER_SHARE", "0.0")),
     _mechanism(
@@ -128,13 +134,13 @@
     ),
     _mechanism(
         "new targets pushed",
-        "all targets report anew",
+        "all targets report again",
         ("membership/target_registry", "NEW_FANOUT", "0"),
     ),
     _mechanism(
         "not ready while cut off",
-        "a domain cut off",
-        ("daemon/domain_isolation", "ISOLATION_SILENCE_S", NEVER),
+        "a domain partitioned",
+        ("daemon/domain_isolation", "ISOLATION_SILENCE_S", NEVER_REACHED),
     ),
 )
-"""The mechanisms that can be left out; the first one is the comparison."""
+"""All mechanisms; the first entry disables nothing and is the reference for the others."""
--- a/bench/messages.py
+++ b/bench/messages.py
@@ -1,4 +1,4 @@
-"""Measures what a sub-request costs against the number that share a message."""
+"""Measures the processor time per sub-request by the number of sub-requests in a message."""
 
 from __future__ import annotations
 
@@ -20,60 +20,65 @@
 from bramleycrank.transport.target_session import TargetSession
 from harness.processes import HOST, free_port
 
-SIZES = (1, 10, 100)
+BATCH_SIZES = (1, 10, 100)
 ROUNDS = 200
 HITS = [Hit(id=f"record-{n}", score=0.5, body="cracked clapper") for n in range(10)]
 
 
 class EchoTarget(TargetBase):
-    """Answers every sub-request at once with ten hits."""
+    """Target that replies to every sub-request immediately with ten hits."""
 
     async def Session(self, stream: Any) -> None:  # noqa: N802
         """Serve one session."""
         while (message := await stream.recv_message()) is not None:
             replies = [
-                SubReply(sub_id=r.sub_id, status=SUB_STATUS_OK, snapshot=r.snapshot, hits=HITS)
-                for r in message.requests
+                SubReply(
+                    sub_id=request.sub_id,
+                    status=SUB_STATUS_OK,
+                    snapshot=request.snapshot,
+                    hits=HITS,
+                )
+                for request in message.requests
             ]
             await stream.send_message(SessionReply(replies=replies, pong=message.ping))
 
 
-class Events:
-    """Counts replies and tells when a round is complete."""
+class RoundEvents:
+    """Session events that count replies and signal the end of a round."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
         self.complete = asyncio.Event()
-        self.left = 0
+        self.remaining = 0
 
     def on_open(self, session: TargetSession) -> None:
-        """Note that the session is open."""
+        """Signal that the session is open."""
         self.opened.set()
 
     def on_message(self, session: TargetSession, message: SessionReply) -> None:
-        """Count the replies."""
-        self.left -= len(message.replies)
-        if self.left <= 0:
+        """Count the replies and signal when the last one of the round arrives."""
+        self.remaining -= len(message.replies)
+        if self.remaining <= 0:
             self.complete.set()
 
     def on_sent(self, session: TargetSession, requests: list[SubRequest]) -> None:
-        """Ignore what was written."""
+        """Ignore sent requests."""
 
     def on_closed(self, session: TargetSession, unsent: list[SubRequest], *, refused: bool) -> None:
-        """Ignore the end."""
+        """Ignore the end of the session."""
 
 
-async def _cost(session: TargetSession, events: Events, size: int) -> float:
-    """Return the processor time in seconds of a sub-request, both sides, in messages of a size."""
+async def _measure_cost(session: TargetSession, events: RoundEvents, batch_size: int) -> float:
+    """Return the processor time per sub-request of client and server together, in seconds."""
     snapshot = Snapshot(version=7, shard_count=500)
     start = time.process_time()
-    for turn in range(ROUNDS):
-        events.left = size
+    for round_index in range(ROUNDS):
+        events.remaining = batch_size
         events.complete.clear()
-        for number in range(size):
+        for number in range(batch_size):
             session.send(
                 SubRequest(
-                    sub_id=turn * size + number + 1,
+                    sub_id=round_index * batch_size + number + 1,
                     service="archivio",
                     kind="search",
                     snapshot=snapshot,
@@ -84,18 +89,21 @@
                 )
             )
         await events.complete.wait()
-    return (time.process_time() - start) / (ROUNDS * size)
+    return (time.process_time() - start) / (ROUNDS * batch_size)
 
 
 async def _measure() -> dict[str, float]:
     port = free_port()
     server = Server([EchoTarget()])
     await server.start(HOST, port)
-    events = Events()
+    events = RoundEvents()
     session = TargetSession(1, HOST, port, "vm1", events)
     session.start(5.0)
     await asyncio.wait_for(events.opened.wait(), 5.0)
-    costs = {f"sub_request_s_in_messages_of_{n}": await _cost(session, events, n) for n in SIZES}
+    costs = {
+        f"sub_request_s_in_messages_of_{n}": await _measure_cost(session, events, n)
+        for n in BATCH_SIZES
+    }
     session.close()
     await session.wait_closed()
     server.close()
@@ -103,5 +111,5 @@
 
 
 def measure() -> dict[str, float]:
-    """Measure all sizes in one process, client and server together."""
+    """Measure all batch sizes with client and server in one process."""
     return asyncio.run(_measure())
--- a/bench/report.py
+++ b/bench/report.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-PAGE = Path(__file__).parent.parent / "docs" / "measurements.md"
-NOTES = Path(__file__).parent / "notes.md"
+PAGE_PATH = Path(__file__).parent.parent / "docs" / "measurements.md"
+NOTES_PATH = Path(__file__).parent / "notes.md"
 
 COLUMNS = (
     ("search p50 ms", "search", "p50_ms", "{:.0f}"),
@@ -26,60 +26,65 @@
 
 
 def write(folder: Path) -> None:
-    """Write the page from the result files of a folder."""
-    parts = [NOTES.read_text().rstrip()]
-    policy = _load(folder / "policy.json")
+    """Write the page from the notes and the result files of a folder."""
+    parts = [NOTES_PATH.read_text().rstrip()]
+    policy = _load_json(folder / "policy.json")
     if policy:
         parts.append(policy_section(policy))
-    control = _load(folder / "control.json")
+    control = _load_json(folder / "control.json")
     if control:
         parts.append(control_section(control))
-    PAGE.write_text("\n\n".join(parts) + "\n")
+    PAGE_PATH.write_text("\n\n".join(parts) + "\n")
 
 
-def _load(path: Path) -> dict[str, Any] | None:
+def _load_json(path: Path) -> dict[str, Any] | None:
     return json.loads(path.read_text()) if path.exists() else None
 
 
 def policy_section(results: dict[str, Any]) -> str:
-    """Return the tables of all scenarios and the comparison with the goals."""
+    """Return the section with the scenario tables and the comparison with the goals."""
     about = ", ".join(f"{key} {value}" for key, value in sorted(results["about"].items()))
     parts = [f"## Policy against the baseline\n\n`python -m bench run` ({about})."]
     for name, shape in results["shapes"].items():
-        parts += [f"### {name}", _sustainable(shape), _table(shape), _goals(shape)]
+        parts += [
+            f"### {name}",
+            _sustainable_rate(shape),
+            _scenario_table(shape),
+            _goals_table(shape),
+        ]
     return "\n\n".join(parts)
 
 
-def _sustainable(shape: dict[str, Any]) -> str:
+def _sustainable_rate(shape: dict[str, Any]) -> str:
     rate = shape["sustainable_per_s"]
     return f"Sustainable rate found: {rate:.0f} requests/s." if rate else ""
 
 
-def _table(shape: dict[str, Any]) -> str:
-    heads = ["scenario", "policy", *(column[0] for column in COLUMNS)]
+def _scenario_table(shape: dict[str, Any]) -> str:
+    headers = ["scenario", "policy", *(column[0] for column in COLUMNS)]
     rows = [
-        [scenario, policy, *(_cell(figures, column) for column in COLUMNS)]
+        [scenario, policy, *(_format_cell(results, column) for column in COLUMNS)]
         for scenario, policies in shape["scenarios"].items()
-        for policy, figures in policies.items()
+        for policy, results in policies.items()
     ]
-    return markdown_table(heads, rows)
+    return markdown_table(headers, rows)
 
 
-def _cell(figures: dict[str, Any], column: tuple[str, str, str, str]) -> str:
-    _, label, key, form = column
-    part = figures["all"] if label == "all" else figures["labels"].get(label, {})
-    return form.format(part[key]) if key in part else "-"
+def _format_cell(results: dict[str, Any], column: tuple[str, str, str, str]) -> str:
+    _, label, key, number_format = column
+    summary = results["all"] if label == "all" else results["labels"].get(label, {})
+    return number_format.format(summary[key]) if key in summary else "-"
 
 
-def _goals(shape: dict[str, Any]) -> str:
+def _goals_table(shape: dict[str, Any]) -> str:
     scenarios = shape["scenarios"]
     rows = []
     if {"calm", "stragglers"} <= scenarios.keys():
         rows += _straggler_goals(scenarios)
     if "overload" in scenarios:
         rows += _overload_goals(shape)
-    rows.append(["untrue answers, product", "0", _sum(scenarios, "untrue_answers")])
-    rows.append(["requests cut, product, rolling restart", "0", _cut(scenarios)])
+    rows.append(["untrue answers, product", "0", _sum_over_scenarios(scenarios, "untrue_answers")])
+    rows.append(["requests cut, product, rolling restart", "0", _cut_requests(scenarios)])
     return markdown_table(["goal", "wanted", "measured"], rows)
 
 
@@ -97,34 +102,40 @@
 
 
 def _overload_goals(shape: dict[str, Any]) -> list[list[str]]:
-    figures = shape["scenarios"]["overload"]["adaptive"]
-    share = figures["all"]["goodput_per_s"] / shape["sustainable_per_s"]
-    urgent = figures["labels"]["urgent"]["p99_ms"]
+    results = shape["scenarios"]["overload"]["adaptive"]
+    share = results["all"]["goodput_per_s"] / shape["sustainable_per_s"]
+    urgent = results["labels"]["urgent"]["p99_ms"]
     return [
         ["overload: goodput over the sustainable rate", "at least 90%", f"{share:.0%}"],
         ["overload: urgent p99", "at most 500 ms", f"{urgent:.0f} ms"],
     ]
 
 
-def _sum(scenarios: dict[str, Any], key: str) -> str:
-    return str(sum(item["adaptive"]["all"][key] for item in scenarios.values()))
+def _sum_over_scenarios(scenarios: dict[str, Any], key: str) -> str:
+    return str(sum(policies["adaptive"]["all"][key] for policies in scenarios.values()))
 
 
-def _cut(scenarios: dict[str, Any]) -> str:
-    item = scenarios.get("rolling_restart")
-    return str(item["adaptive"]["all"]["cut"]) if item else "not run"
+def _cut_requests(scenarios: dict[str, Any]) -> str:
+    policies = scenarios.get("rolling_restart")
+    return str(policies["adaptive"]["all"]["cut"]) if policies else "not run"
 
 
-def control_section(figures: dict[str, Any]) -> str:
-    """Return the table of the control plane's figures."""
-    about = ", ".join(f"{key} {value}" for key, value in sorted(figures["about"].items()))
+def control_section(results: dict[str, Any]) -> str:
+    """Return the section with the measurements of the control plane."""
+    about = ", ".join(f"{key} {value}" for key, value in sorted(results["about"].items()))
     rows = [
-        ["change accepted", *_quantiles(figures["in_force"]["accepted_s"])],
-        ["accepted until in force on all VMs", *_quantiles(figures["in_force"]["everywhere_s"])],
-        ["leader killed until a change is accepted", *_quantiles(_recovery(figures))],
+        ["change accepted", *_format_quantiles(results["in_force"]["accepted_s"])],
+        [
+            "accepted until in force on all VMs",
+            *_format_quantiles(results["in_force"]["everywhere_s"]),
+        ],
+        [
+            "leader killed until a change is accepted",
+            *_format_quantiles(_recovery_quantiles(results)),
+        ],
     ]
     table = markdown_table(["time in s", "min", "p50", "p99", "max"], rows)
-    idle = figures["idle"]
+    idle = results["idle"]
     note = (
         f"Idle VM: {idle['processor_share_mean']:.1%} of a core on average, "
         f"{idle['processor_share_max']:.1%} at most; {idle['resident_mb_max']:.0f} MB resident."
@@ -132,15 +143,15 @@
     return f"## Control plane\n\n`python -m bench control` ({about}).\n\n{table}\n\n{note}"
 
 
-def _recovery(figures: dict[str, Any]) -> dict[str, float]:
-    return figures["recovery"]["accepted_again_s"]
+def _recovery_quantiles(results: dict[str, Any]) -> dict[str, float]:
+    return results["recovery"]["accepted_again_s"]
 
 
-def _quantiles(values: dict[str, float]) -> list[str]:
+def _format_quantiles(values: dict[str, float]) -> list[str]:
     return [f"{values[key]:.3f}" for key in ("min", "p50", "p99", "max")]
 
 
-def markdown_table(heads: list[str], rows: list[list[str]]) -> str:
+def markdown_table(headers: list[str], rows: list[list[str]]) -> str:
     """Return a Markdown table."""
-    lines = [heads, ["---"] * len(heads), *rows]
+    lines = [headers, ["---"] * len(headers), *rows]
     return "\n".join("| " + " | ".join(map(str, cells)) + " |" for cells in lines)
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -1,4 +1,4 @@
-"""Runs scenarios with the baseline and the product in turn."""
+"""Runs scenarios with the baseline policy and the adaptive policy in turn."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 DEADLINE_MS = 1000
 URGENT_DEADLINE_MS = 500
 
-# The sustainable rate is searched upwards from twice the calm rate.
-SEARCH_STEP = 1.12
-SEARCH_SECONDS = 6.0
-SUSTAINABLE_SHARE = 0.99
+# The search for the sustainable rate starts at twice the calm rate and goes upwards.
+RATE_STEP_FACTOR = 1.12
+RATE_SEARCH_DURATION_S = 6.0
+MIN_GOOD_SHARE = 0.99
 
 
-def mix(shape: Shape) -> list[dict[str, Any]]:
-    """Return the requests of one user with their weights."""
+def request_mix(shape: Shape) -> list[dict[str, Any]]:
+    """Return the request types of a deployment with their weights."""
     search = {
         "service": shape.search.name,
         "kind": "search",
@@ -62,18 +62,18 @@
 
 @attrs.frozen
 class Measurement:
-    """Settings of one run of the command.
+    """Runs scenarios for one deployment with common settings.
 
     Parameters
     ----------
     shape : Shape
-        The user.
+        VMs and services of the deployment.
     calm_rate : float
-        Requests a second in the calm scenario.
+        Request rate of the calm scenario, in requests/s.
     seconds : float
-        Recorded length of each scenario.
+        Duration of the recorded load of each scenario, in s.
     seed : int
-        Seed of the load and of the targets.
+        Random seed of the load generator and of the targets.
     """
 
     shape: Shape
@@ -82,7 +82,7 @@
     seed: int
 
     async def scenario(self, scenario: Scenario, policy: str, rate: float) -> dict[str, Any]:
-        """Run one scenario with a fleet of its own and return its figures."""
+        """Run one scenario on a new fleet and return its results."""
         with tempfile.TemporaryDirectory(prefix="bramleycrank-bench-") as name:
             fleet = BenchFleet(self.shape, policy, Path(name), self.seed)
             try:
@@ -100,8 +100,8 @@
         await scenario.during(fleet, seconds)
         result = await load
         after = fleet.processor_s()
-        used = [after[name] - before[name] for name in after if after[name] >= before[name]]
-        result["vm_processor_share"] = sum(used) / len(used) / seconds
+        processor_s = [after[name] - before[name] for name in after if after[name] >= before[name]]
+        result["vm_processor_share"] = sum(processor_s) / len(processor_s) / seconds
         result["offered_per_s"] = rate
         return result
 
@@ -112,7 +112,7 @@
         seconds: float,
         requests: list[dict[str, Any]] | None = None,
     ) -> dict[str, Any]:
-        """Run the load generator as a process of its own."""
+        """Run the load generator in a separate process and return its summary."""
         spec_path, result_path = fleet.folder / "load.json", fleet.folder / "result.json"
         spec = {
             "urls": [vm.url for vm in fleet.vms],
@@ -120,7 +120,7 @@
             "seconds": seconds,
             "warmup_s": WARMUP_S,
             "seed": self.seed,
-            "mix": requests or mix(self.shape),
+            "mix": requests or request_mix(self.shape),
         }
         spec_path.write_text(json.dumps(spec))
         result_path.unlink(missing_ok=True)
@@ -128,32 +128,36 @@
         process = Process(command, fleet.folder / "load.log")
         try:
             limit_s = WARMUP_S + seconds + 60
-            await until(lambda: process.exit_code is not None, "the load ends", limit_s, 0.1)
+            await until(
+                lambda: process.exit_code is not None, "the load generator exits", limit_s, 0.1
+            )
             assert process.exit_code == 0, process.log_tail()
         finally:
             process.reap()
         return json.loads(result_path.read_text())
 
     async def sustainable_rate(self, policy: str) -> float:
-        """Return the highest rate at which 99% of the requests are complete in time."""
+        """Return the highest tested rate at which 99% of the requests are complete in time."""
         with tempfile.TemporaryDirectory(prefix="bramleycrank-bench-") as name:
             fleet = BenchFleet(self.shape, policy, Path(name), self.seed)
             try:
                 await fleet.start()
                 rate = best = 2 * self.calm_rate
                 while True:
-                    result = (await self.load(fleet, rate, SEARCH_SECONDS))["all"]
-                    log.warning("bench: rate %.0f: good %.3f", rate, result["good_share"])
-                    if result["good_share"] < SUSTAINABLE_SHARE:
+                    result = (await self.load(fleet, rate, RATE_SEARCH_DURATION_S))["all"]
+                    log.warning(
+                        "bench: rate %.0f/s: %.3f complete in time", rate, result["good_share"]
+                    )
+                    if result["good_share"] < MIN_GOOD_SHARE:
                         return best
-                    best, rate = rate, rate * SEARCH_STEP
+                    best, rate = rate, rate * RATE_STEP_FACTOR
             finally:
                 fleet.close()
 
 
-async def run_all(measurement: Measurement, names: list[str]) -> dict[str, Any]:
-    """Run scenarios with both policies in turn and return all figures."""
-    scenarios = [SCENARIOS[name] for name in names]
+async def run_all(measurement: Measurement, scenario_names: list[str]) -> dict[str, Any]:
+    """Run scenarios with both policies in turn and return all results."""
+    scenarios = [SCENARIOS[name] for name in scenario_names]
     sustainable = 0.0
     if any(item.load_factor == 0 for item in scenarios):
         sustainable = await measurement.sustainable_rate("adaptive")
@@ -162,19 +166,19 @@
         rate = measurement.calm_rate * scenario.load_factor or 2 * sustainable
         results["scenarios"][scenario.name] = {}
         for policy in POLICIES:
-            figures = await measurement.scenario(scenario, policy, rate)
-            results["scenarios"][scenario.name][policy] = figures
-            log.warning("bench: %s %s: %s", scenario.name, policy, headline(figures))
+            measured = await measurement.scenario(scenario, policy, rate)
+            results["scenarios"][scenario.name][policy] = measured
+            log.warning("bench: %s %s: %s", scenario.name, policy, format_summary(measured))
     return results
 
 
-def headline(figures: dict[str, Any]) -> str:
-    """Return the main figures of one run in one line."""
-    labels = figures["labels"]
-    search, total = labels["search"], figures["all"]
+def format_summary(measured: dict[str, Any]) -> str:
+    """Return the main results of one run in one line."""
+    labels = measured["labels"]
+    search, total = labels["search"], measured["all"]
     return (
         f"search p50 {search['p50_ms']:.0f} p99 {search['p99_ms']:.0f} ms, "
-        f"urgent p99 {labels['urgent']['p99_ms']:.0f} ms, good {total['goodput_per_s']:.0f}/s, "
+        f"urgent p99 {labels['urgent']['p99_ms']:.0f} ms, goodput {total['goodput_per_s']:.0f}/s, "
         f"coverage {total['coverage']:.4f}, refused {total['refused_share']:.3f}, "
         f"failed {total['failed_share']:.3f}, cut {total['cut']}, "
         f"load x{total['load_factor']:.3f}, untrue {total['untrue_answers']}, {total['errors']}"
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -1,4 +1,4 @@
-"""The two users' sizes as the measurements use them."""
+"""The deployments of the two users in the sizes that the benchmarks use."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     name : str
         Service name.
     shards, replicas : int
-        Shards and replicas of each shard.
+        Number of shards, and number of replicas of each shard.
     slots, connections : int
-        Sub-requests at a time and connections that a target accepts.
+        Maximum number of concurrent sub-requests and of connections of a target.
     connection_ms : float
         Time to set up a connection, in ms.
     latency_ms : float
@@ -34,20 +34,20 @@
 
 @attrs.frozen
 class Shape:
-    """One user's VMs and services.
+    """The VMs and services of one deployment.
 
     Parameters
     ----------
     name : str
-        Name of the user.
+        Name of the deployment.
     domains : tuple of str
         Failure domains.
     vms : int
-        Entry VMs, spread evenly over the domains.
+        Number of entry VMs, which are distributed evenly over the domains.
     search, records : ServiceShape
-        The service for searches over all shards, and the one for single records.
+        Service for searches over all shards, and service for lookups of single records.
     order_kind : str
-        The non-idempotent request kind.
+        Name of the non-idempotent request kind.
     """
 
     name: str
