--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -108,7 +108,7 @@
         await until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
 
 
-class Targets:
+class TargetGroup:
     """The targets of one service in one domain, run by one stand-in process."""
 
     def __init__(self, fleet: BenchFleet, shape: ServiceShape, domain: str) -> None:
@@ -179,7 +179,7 @@
         for number in range(1, shape.vms + 1):
             self.vms.append(Vm(self, number, domains[(number - 1) % len(domains)]))
         self.target_groups = [
-            Targets(self, service, domain)
+            TargetGroup(self, service, domain)
             for service in (shape.search, shape.records)
             for domain in domains
         ]
@@ -255,7 +255,7 @@
             return False
         return coverage["answered"] == self.shape.search.shards
 
-    def of_search(self) -> list[Targets]:
+    def of_search(self) -> list[TargetGroup]:
         """Return the target groups of the search service."""
         return [group for group in self.target_groups if group.shape is self.shape.search]
 
