--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -255,7 +255,7 @@
             return False
         return coverage["answered"] == self.shape.search.shards
 
-    def of_search(self) -> list[TargetGroup]:
+    def search_target_groups(self) -> list[TargetGroup]:
         """Return the target groups of the search service."""
         return [group for group in self.target_groups if group.shape is self.shape.search]
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -51,14 +51,14 @@
 
 async def stragglers(fleet: BenchFleet, _seconds: float) -> None:
     """Make 2% of the sub-requests take 20 times as long."""
-    for group in fleet.of_search():
+    for group in fleet.search_target_groups():
         await group.fault(straggler_share=0.02, straggler_factor=20.0)
 
 
 async def kill_replicas(fleet: BenchFleet, _seconds: float) -> None:
     """Kill the search targets of one domain (one replica of each shard) without notice."""
     await asyncio.sleep(FAULT_DELAY_S)
-    fleet.of_search()[0].process.signal(signal.SIGKILL)
+    fleet.search_target_groups()[0].process.signal(signal.SIGKILL)
 
 
 async def silence_connections(fleet: BenchFleet, _seconds: float) -> None:
@@ -71,7 +71,7 @@
 async def restart_cold(fleet: BenchFleet, _seconds: float) -> None:
     """Replace the search targets of one domain by cold targets, five times slower at first."""
     await asyncio.sleep(FAULT_DELAY_S)
-    group = fleet.of_search()[0]
+    group = fleet.search_target_groups()[0]
     group.process.signal(signal.SIGTERM)
     old_process = group.process
     group.stub_channel.close()
@@ -99,7 +99,9 @@
         lambda old_shard: [(2, shard_count, old_shard), (3, half_count, old_shard % half_count)],
         lambda old_shard: [(3, half_count, old_shard % half_count)],
     ]
-    target_ids = [(item, target_id) for item in fleet.of_search() for target_id in item.targets]
+    target_ids = [
+        (item, target_id) for item in fleet.search_target_groups() for target_id in item.targets
+    ]
     step_interval_s = seconds * 0.8 / (len(steps) * len(target_ids))
     for step, (group, target_id) in itertools.product(steps, target_ids):
         shard = int(target_id.split("-")[-2])
--- a/tests/test_process_domain_cut.py
+++ b/tests/test_process_domain_cut.py
@@ -53,7 +53,7 @@
 async def effects(fleet: BenchFleet) -> dict[str, int]:
     """Return how often each work order ran, over all targets of all domains."""
     total: dict[str, int] = {}
-    for targets in fleet.of_search():
+    for targets in fleet.search_target_groups():
         for item in await targets.stats():
             for key, count in item.effects.items():
                 total[key] = total.get(key, 0) + count
