--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -259,7 +259,7 @@
         """Return the target groups of the search service."""
         return [group for group in self.target_groups if group.shape is self.shape.search]
 
-    def cut(self, domain: str) -> None:
+    def partition(self, domain: str) -> None:
         """Partition a domain from all others by dropping messages without closing connections."""
         inside = self._addresses(lambda other: other == domain)
         outside = self._addresses(lambda other: other != domain)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -115,7 +115,7 @@
 async def partition_domain(fleet: BenchFleet, seconds: float) -> None:
     """Partition the last domain from the others for half of the run."""
     await asyncio.sleep(FAULT_DELAY_S)
-    fleet.cut(fleet.shape.domains[-1])
+    fleet.partition(fleet.shape.domains[-1])
     await asyncio.sleep(seconds * 0.5)
     fleet.heal()
 
--- a/tests/test_process_domain_cut.py
+++ b/tests/test_process_domain_cut.py
@@ -65,7 +65,7 @@
     first, other, cut_off = fleet.vms
     now_ms = int(time.time() * 1000)
     before = await order(first, "before", now_ms)
-    fleet.cut("c")
+    fleet.partition("c")
 
     async def stale() -> bool:
         answer = await search(cut_off)
