--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -13,7 +13,7 @@
 
 from bench import ablation, control, report, slopes
 from bench.mechanisms import MECHANISMS
-from bench.runner import Measurement, run_all
+from bench.runner import ScenarioRunner, run_all
 from bench.scenarios import SCENARIOS
 from bench.shapes import SHAPES
 
@@ -50,9 +50,9 @@
         logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(message)s")
         results = {"about": describe_run(seconds=seconds, rate=rate, seed=seed), "shapes": {}}
         for name in split_list(shapes):
-            measurement = Measurement(SHAPES[name], rate, seconds, seed)
-            results["shapes"][name] = asyncio.run(run_all(measurement, split_list(scenarios)))
-            write(out, results)
+            runner = ScenarioRunner(SHAPES[name], rate, seconds, seed)
+            results["shapes"][name] = asyncio.run(run_all(runner, split_list(scenarios)))
+            write_results(out, results)
 
     def ablate(
         self,
@@ -105,7 +105,9 @@
         """
         logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(message)s")
         measured = asyncio.run(control.measure(SHAPES["battaglio"], changes, recoveries))
-        write(out, {"about": describe_run(changes=changes, recoveries=recoveries), **measured})
+        write_results(
+            out, {"about": describe_run(changes=changes, recoveries=recoveries), **measured}
+        )
 
     def slopes(self, parts: str = ",".join(slopes.PARTS), out: str = "slopes") -> None:
         """Measure how cost grows with size and update these parts of the result file.
@@ -123,7 +125,7 @@
         results = json.loads(path.read_text()) if path.exists() else {}
         for part in split_list(parts):
             results |= {"about": describe_run(), part: slopes.PARTS[part]()}
-            write(out, results)
+            write_results(out, results)
 
     def report(self) -> None:
         """Write docs/measurements.md from the result files."""
@@ -144,7 +146,7 @@
     }
 
 
-def write(name: str, results: dict[str, object]) -> None:
+def write_results(name: str, results: dict[str, object]) -> None:
     """Write results as a JSON file to the results folder."""
     RESULTS_DIR.mkdir(exist_ok=True)
     (RESULTS_DIR / f"{name}.json").write_text(json.dumps(results, indent=1, sort_keys=True) + "\n")
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -15,6 +15,7 @@
 from bench.mechanisms import MECHANISMS, Mechanism
 
 SCORE_PATTERN = re.compile(r"^worth (-?[\d.]+) = ", re.MULTILINE)
+# Matches the lines in which the player reports a violated rule.
 VIOLATION_PATTERN = re.compile(
     r"^.*\b(?:MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|RECOVER)\b.*$",
     re.MULTILINE,
@@ -83,7 +84,9 @@
             output = out.read()
         match = SCORE_PATTERN.search(output)
         if match is None:
-            raise RuntimeError(f"{day} without {mechanism.name}: {output[-300:]}")
+            raise RuntimeError(
+                f"{day} without {mechanism.name}: no score in the output: {output[-300:]}"
+            )
         for line in VIOLATION_PATTERN.findall(output):
             print(f"{day} without {mechanism.name}: {line}")
         return float(match[1])
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -46,7 +46,7 @@
         self.vm_id = f"vm{number}"
         self.domain = domain
         self.http, self.grpc = free_port(), free_port()
-        self.voter = number <= VOTER_COUNT
+        self.is_voter = number <= VOTER_COUNT
         self.process: Process | None = None
         self._fleet = fleet
 
@@ -72,7 +72,7 @@
             grpc=self.grpc,
             seeds=", ".join(f'"{vm.address}"' for vm in fleet.vms),
             policy=fleet.policy,
-            storage=f'[storage]\ndata_dir = "{data}"' if self.voter else "",
+            storage=f'[storage]\ndata_dir = "{data}"' if self.is_voter else "",
         )
         path.write_text(text)
         self.process = fleet.spawn(
--- a/bench/load.py
+++ b/bench/load.py
@@ -189,7 +189,7 @@
         self.balancer = LoadBalancer(spec["urls"])
         self.recorder = Recorder()
         self.mix = spec["mix"]
-        self.weights = [item["weight"] for item in self.mix]
+        self.weights = [request_type["weight"] for request_type in self.mix]
 
     async def run(self) -> dict[str, Any]:
         """Send all requests, wait for their answers and return the summary."""
@@ -213,18 +213,18 @@
 
     async def send_request(self, number: int, due_at: float, recorded: bool) -> None:
         """Send one request and record its result."""
-        item = self.rng.choices(self.mix, self.weights)[0]
-        body = dict(item["body"], query=f"q{self.rng.randrange(10_000)}")
-        if item.get("keyed"):
+        request_type = self.rng.choices(self.mix, self.weights)[0]
+        body = dict(request_type["body"], query=f"q{self.rng.randrange(10_000)}")
+        if request_type.get("keyed"):
             body |= {"request_key": f"{self.spec['seed']}-{number}", "key": f"k{number}"}
             body |= {"issued_at_ms": int(time.time() * 1000)}
         deadline_s = body["deadline_ms"] / 1000
-        row = {"label": item["label"], "needed": 0, "sent": 0, "coverage": 0.0}
+        row = {"label": request_type["label"], "needed": 0, "sent": 0, "coverage": 0.0}
         try:
             answer = await self.client.query(
                 self.balancer.next_url(), body, deadline_s + CLIENT_GRACE_S
             )
-            row |= self.classify_answer(answer, item.get("exhaustive", False))
+            row |= self.classify_answer(answer, request_type.get("exhaustive", False))
         except Exception as exc:
             row |= {"kind": "cut", "error": type(exc).__name__, "untrue": ""}
         row["latency_s"] = time.perf_counter() - due_at
--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -88,11 +88,13 @@
         (TARGETS, "REPROBE_S, REPROBE_MAX_S", "1.0, 1.0"),
     ),
     _mechanism(
-        "share of failures", "a target fails a part", (TARGETS, "FAILURE_COST_FACTOR", "0.0")
+        "share of failures",
+        "a target fails some sub-requests",
+        (TARGETS, "FAILURE_COST_FACTOR", "0.0"),
     ),
     _mechanism(
         "time lost by failures, near and far",
-        "a target fails a part",
+        "a target fails some sub-requests",
         (TARGETS, "FAILURE_DELAY_FACTOR", "0.0"),
     ),
     _mechanism(
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class Measurement:
+class ScenarioRunner:
     """Runs scenarios for one deployment with common settings.
 
     Parameters
@@ -81,20 +81,22 @@
     seconds: float
     seed: int
 
-    async def scenario(self, scenario: Scenario, policy: str, rate: float) -> dict[str, Any]:
+    async def run_scenario(self, scenario: Scenario, policy: str, rate: float) -> dict[str, Any]:
         """Run one scenario on a new fleet and return its results."""
         with tempfile.TemporaryDirectory(prefix="bramleycrank-bench-") as name:
             fleet = BenchFleet(self.shape, policy, Path(name), self.seed)
             try:
                 await fleet.start()
                 await scenario.before(fleet, self.seconds)
-                return await self._measure(fleet, scenario, rate)
+                return await self._run_on_fleet(fleet, scenario, rate)
             finally:
                 fleet.close()
 
-    async def _measure(self, fleet: BenchFleet, scenario: Scenario, rate: float) -> dict[str, Any]:
+    async def _run_on_fleet(
+        self, fleet: BenchFleet, scenario: Scenario, rate: float
+    ) -> dict[str, Any]:
         seconds = scenario.seconds or self.seconds
-        load = asyncio.create_task(self.load(fleet, rate, seconds))
+        load = asyncio.create_task(self.run_load(fleet, rate, seconds))
         await asyncio.sleep(WARMUP_S)
         before = fleet.processor_s()
         await scenario.during(fleet, seconds)
@@ -105,7 +107,7 @@
         result["offered_per_s"] = rate
         return result
 
-    async def load(
+    async def run_load(
         self,
         fleet: BenchFleet,
         rate: float,
@@ -127,9 +129,9 @@
         command = [sys.executable, "-m", "bench.load", str(spec_path), str(result_path)]
         process = Process(command, fleet.folder / "load.log")
         try:
-            limit_s = WARMUP_S + seconds + 60
+            timeout_s = WARMUP_S + seconds + 60
             await until(
-                lambda: process.exit_code is not None, "the load generator exits", limit_s, 0.1
+                lambda: process.exit_code is not None, "the load generator exits", timeout_s, 0.1
             )
             assert process.exit_code == 0, process.log_tail()
         finally:
@@ -144,7 +146,7 @@
                 await fleet.start()
                 rate = best = 2 * self.calm_rate
                 while True:
-                    result = (await self.load(fleet, rate, RATE_SEARCH_DURATION_S))["all"]
+                    result = (await self.run_load(fleet, rate, RATE_SEARCH_DURATION_S))["all"]
                     log.warning(
                         "bench: rate %.0f/s: %.3f complete in time", rate, result["good_share"]
                     )
@@ -155,18 +157,18 @@
                 fleet.close()
 
 
-async def run_all(measurement: Measurement, scenario_names: list[str]) -> dict[str, Any]:
+async def run_all(runner: ScenarioRunner, scenario_names: list[str]) -> dict[str, Any]:
     """Run scenarios with both policies in turn and return all results."""
     scenarios = [SCENARIOS[name] for name in scenario_names]
     sustainable = 0.0
     if any(item.load_factor == 0 for item in scenarios):
-        sustainable = await measurement.sustainable_rate("adaptive")
+        sustainable = await runner.sustainable_rate("adaptive")
     results: dict[str, Any] = {"sustainable_per_s": sustainable, "scenarios": {}}
     for scenario in scenarios:
-        rate = measurement.calm_rate * scenario.load_factor or 2 * sustainable
+        rate = runner.calm_rate * scenario.load_factor or 2 * sustainable
         results["scenarios"][scenario.name] = {}
         for policy in POLICIES:
-            measured = await measurement.scenario(scenario, policy, rate)
+            measured = await runner.run_scenario(scenario, policy, rate)
             results["scenarios"][scenario.name][policy] = measured
             log.warning("bench: %s %s: %s", scenario.name, policy, format_summary(measured))
     return results
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -27,9 +27,9 @@
     ----------
     name : str
         Name on the command line and in the tables.
-    before : Script
+    before : FleetAction
         Action before the load starts.
-    during : Script
+    during : FleetAction
         Action from the start of the recorded load on. Like `before`, it receives the fleet and the
         duration of the recorded load in s.
     load_factor : float
@@ -68,7 +68,7 @@
         await group.fault(silent_share=1 / 3)
 
 
-async def restart_cold(fleet: BenchFleet, _seconds: float) -> None:
+async def restart_targets_cold(fleet: BenchFleet, _seconds: float) -> None:
     """Replace the search targets of one domain by cold targets, five times slower at first."""
     await asyncio.sleep(FAULT_DELAY_S)
     group = fleet.search_target_groups()[0]
@@ -89,7 +89,7 @@
     ]
 
 
-async def change_versions(fleet: BenchFleet, seconds: float) -> None:
+async def change_snapshot_versions(fleet: BenchFleet, seconds: float) -> None:
     """Update target by target to snapshot version 2, then to version 3 with half the shards."""
     shard_count = fleet.shape.search.shards
     half_count = shard_count // 2
@@ -136,8 +136,8 @@
         Scenario("replica_lost", no_action, kill_replicas),
         Scenario("silent_connections", no_action, silence_connections),
         Scenario("overload", no_action, no_action, load_factor=0.0),
-        Scenario("cold_targets", no_action, restart_cold),
-        Scenario("version_change", no_action, change_versions),
+        Scenario("cold_targets", no_action, restart_targets_cold),
+        Scenario("version_change", no_action, change_snapshot_versions),
         Scenario("domain_cut", no_action, partition_domain),
         Scenario("rolling_restart", no_action, restart_vms, seconds=60.0),
     )
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -20,7 +20,7 @@
 
 from bench import control, messages
 from bench.fleet import BenchFleet, resident_mb
-from bench.runner import WARMUP_S, Measurement
+from bench.runner import WARMUP_S, ScenarioRunner
 from bench.shapes import ServiceShape, Shape
 from bramleycrank.membership import MembershipConfig, TargetRegistry
 from bramleycrank.proto import log_pb2, peer_pb2, target_pb2
@@ -228,10 +228,10 @@
 
 async def _measure_queries(fleet: BenchFleet) -> dict[str, float]:
     """Measure processor time per query, in s, and 99th percentile of latency."""
-    measurement = Measurement(fleet.shape, QUERIES_PER_S, QUERY_DURATION_S, 1)
+    runner = ScenarioRunner(fleet.shape, QUERIES_PER_S, QUERY_DURATION_S, 1)
     body = {"service": "wide", "kind": "search", "deadline_ms": 2000, "limit": 10}
     requests = [{"label": "search", "weight": 1, "body": body}]
-    load = asyncio.create_task(measurement.load(fleet, QUERIES_PER_S, QUERY_DURATION_S, requests))
+    load = asyncio.create_task(runner.run_load(fleet, QUERIES_PER_S, QUERY_DURATION_S, requests))
     await asyncio.sleep(WARMUP_S + 1)
     before, start = sum(fleet.processor_s().values()), time.perf_counter()
     await asyncio.sleep(QUERY_DURATION_S - 2)
