--- a/bramleycrank/standin/announcer.py
+++ b/bramleycrank/standin/announcer.py
@@ -1,4 +1,4 @@
-"""Announces one target to one of several VMs and moves on when that VM fails."""
+"""Announces one target to one of several VMs and switches to the next when a call fails."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 log = logging.getLogger(__name__)
 
 CALL_ERRORS = (grpclib.GRPCError, StreamTerminatedError, OSError, TimeoutError)
-# Pause after all VMs failed in turn; short against the lease of 6 s.
-RETRY_PAUSE_S = 0.5
+# Delay after all VMs failed; short compared with the default lease of 6 s.
+RETRY_DELAY_S = 0.5
 
 
 class VmChannels:
@@ -42,18 +42,18 @@
 
 
 class Announcer:
-    """Keeps the lease of one target.
+    """Registers one target with a VM and renews its lease.
 
     Parameters
     ----------
     target : StandInTarget
-        Target to announce.
+        Target whose lease is renewed.
     vms : Sequence of Address
         VMs, the preferred one first.
     channels : VmChannels
         Shared channels.
     timeout_s : float
-        Longest wait for a VM's answer.
+        Timeout of a call to a VM, in seconds.
     """
 
     def __init__(
@@ -68,27 +68,27 @@
         self._vm_count = len(vms)
         self._channels = channels
         self._timeout_s = timeout_s
-        self._home: Address | None = None
-        self._left = asyncio.Event()
+        self._home_vm: Address | None = None
+        self._leave_confirmed = asyncio.Event()
 
     async def run(self) -> None:
-        """Renew the lease until the target has left."""
+        """Renew the lease until the target leaves, then deregister it."""
         if self._vms is None:
             return
-        self._home = next(self._vms)
+        self._home_vm = next(self._vms)
         while not self._target.leaving:
             self._target.changed.clear()
-            pause_s = await self._announce()
-            await self._wait_for_change(pause_s)
+            delay_s = await self._announce()
+            await self._wait_for_change(delay_s)
         await self._leave()
 
-    async def wait_left(self, timeout_s: float) -> bool:
-        """Wait until a VM has confirmed that the target leaves."""
+    async def wait_leave_confirmed(self, timeout_s: float) -> bool:
+        """Return whether a VM confirmed within the timeout that the target leaves."""
         if self._vms is None:
             return True
         try:
             async with asyncio.timeout(timeout_s):
-                await self._left.wait()
+                await self._leave_confirmed.wait()
         except TimeoutError:
             return False
         return True
@@ -101,39 +101,39 @@
             await self._target.resumed.wait()
 
     async def _announce(self) -> float:
-        """Announce once, moving on through the VMs; return the pause before the next call."""
+        """Announce to the first VM that replies; return the delay until the next call, in s."""
         for _ in range(self._vm_count):
             request = pb.AnnounceRequest(record=self._target.record, load=self._target.load())
             try:
-                stub = self._channels.registry(self._home)
+                stub = self._channels.registry(self._home_vm)
                 reply = await stub.Announce(request, timeout=self._timeout_s)
             except CALL_ERRORS as exc:
-                self._move_on(exc)
+                self._switch_vm(exc)
                 continue
             return reply.renew_ms / 1000 if reply.renew_ms else 2.0
-        return RETRY_PAUSE_S
+        return RETRY_DELAY_S
 
-    def _move_on(self, exc: Exception) -> None:
-        """Choose the next VM.
+    def _switch_vm(self, exc: Exception) -> None:
+        """Select the next VM.
 
-        The sequence grows, so that the record wins where the lease has run out meanwhile.
+        The higher sequence lets the record replace one that was marked as expired meanwhile.
         """
-        log.info("standin: %s: %s failed: %r", self._target.record.target_id, self._home, exc)
-        self._home = next(self._vms)
+        log.info("standin: %s: %s failed: %r", self._target.record.target_id, self._home_vm, exc)
+        self._home_vm = next(self._vms)
         self._target.record.sequence += 1
 
     async def _leave(self) -> None:
-        """Tell VMs that the target leaves until one of them confirms it."""
+        """Send the leave message to the VMs in turn until one confirms it."""
         record = self._target.record
         request = pb.LeaveRequest(target_id=record.target_id, incarnation=record.incarnation)
         for attempt in itertools.count(1):
             try:
-                stub = self._channels.registry(self._home)
+                stub = self._channels.registry(self._home_vm)
                 await stub.Leave(request, timeout=self._timeout_s)
             except CALL_ERRORS as exc:
-                self._move_on(exc)
+                self._switch_vm(exc)
                 if attempt % self._vm_count == 0:
-                    await asyncio.sleep(RETRY_PAUSE_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
             else:
-                self._left.set()
+                self._leave_confirmed.set()
                 return
--- a/bramleycrank/standin/control.py
+++ b/bramleycrank/standin/control.py
@@ -11,7 +11,7 @@
 from bramleycrank.standin.target import StandInTarget
 from bramleycrank.transport.grpc_errors import unary
 
-SHARES = ("straggler_share", "shed_share", "fail_share", "silent_share")
+SHARE_FIELDS = ("straggler_share", "shed_share", "fail_share", "silent_share")
 
 
 class StandInService(StandInBase):
@@ -29,11 +29,11 @@
     @unary
     async def SetFault(self, request: pb.FaultRequest) -> pb.Empty:  # noqa: N802
         """Apply a fault to one target or to all."""
-        if any(not 0 <= getattr(request, name) <= 1 for name in SHARES):
-            raise _invalid("a share must lie between 0 and 1")
+        if any(not 0 <= getattr(request, name) <= 1 for name in SHARE_FIELDS):
+            raise _invalid_request("a share must be between 0 and 1")
         if request.latency_ms < 0 or request.straggler_factor < 0:
-            raise _invalid("a time or factor must not be negative")
-        for target in self._chosen(request.target_id):
+            raise _invalid_request("a time or factor must not be negative")
+        for target in self._select_targets(request.target_id):
             target.set_fault(request)
         return pb.Empty()
 
@@ -41,17 +41,17 @@
     async def SetReplicas(self, request: pb.SetReplicasRequest) -> pb.Empty:  # noqa: N802
         """Replace the replicas of one target."""
         if not request.target_id:
-            raise _invalid("target_id is required")
+            raise _invalid_request("target_id is required")
         if any(r.shard >= r.snapshot.shard_count for r in request.replicas):
-            raise _invalid("a shard must be below its shard_count")
-        for target in self._chosen(request.target_id):
+            raise _invalid_request("a shard must be below its shard_count")
+        for target in self._select_targets(request.target_id):
             target.set_replicas(request.replicas)
         return pb.Empty()
 
     @unary
     async def Drain(self, request: pb.DrainRequest) -> pb.Empty:  # noqa: N802
-        """Make one target leave, or all."""
-        for target in self._chosen(request.target_id):
+        """Set one target, or all, to the state LEAVING."""
+        for target in self._select_targets(request.target_id):
             target.set_state(target_pb2.TARGET_STATE_LEAVING)
         return pb.Empty()
 
@@ -60,7 +60,7 @@
         """Return the counters of all targets."""
         return pb.StatsReply(targets=[t.stats() for t in self._targets.values()])
 
-    def _chosen(self, target_id: str) -> list[StandInTarget]:
+    def _select_targets(self, target_id: str) -> list[StandInTarget]:
         if not target_id:
             return list(self._targets.values())
         if target_id not in self._targets:
@@ -68,5 +68,5 @@
         return [self._targets[target_id]]
 
 
-def _invalid(message: str) -> InvalidRequest:
+def _invalid_request(message: str) -> InvalidRequest:
     return InvalidRequest(message, outcome=Outcome.NOT_RUN)
--- a/bramleycrank/standin/data.py
+++ b/bramleycrank/standin/data.py
@@ -1,7 +1,7 @@
 """Deterministic content of the stand-in's shards.
 
-A hit depends on service, snapshot, shard and query, so a test can compute the right answer and can
-tell an answer that mixes snapshots.
+A hit depends on service, snapshot, shard and query, so a test can compute the expected answer and
+detect an answer that mixes snapshots.
 """
 
 from __future__ import annotations
@@ -24,21 +24,27 @@
 
 def search(service: str, snapshot: Snapshot, shard: int, query: str, limit: int) -> tuple[Hit, ...]:
     """Return the best hits of one shard, best first, at most `HITS_PER_SHARD`."""
-    place = (service, snapshot.version, snapshot.shard_count, shard)
-    return _search(*place, query)[: max(limit, 1)]
+    shard_key = (service, snapshot.version, snapshot.shard_count, shard)
+    return _search(*shard_key, query)[: max(limit, 1)]
 
 
 def fetch(service: str, snapshot: Snapshot, shard: int, key: str) -> tuple[Hit, ...]:
-    """Return the record with a key; it must belong to the shard."""
+    """Return the record with a key; the key must belong to the shard."""
     body = _body(snapshot.version, snapshot.shard_count, shard, service=service, key=key)
     return (Hit(id=key, score=1.0, body=body),)
 
 
-def receipt(service: str, snapshot: Snapshot, shard: int, request: SubRequest, run: int) -> bytes:
-    """Return the payload of an operator-defined kind; ``run`` counts the runs of its key."""
-    receipt_fields = {"kind": request.kind, "request_key": request.request_key, "run": run}
+def receipt(
+    service: str, snapshot: Snapshot, shard: int, request: SubRequest, execution_count: int
+) -> bytes:
+    """Return the payload of an operator-defined kind, with the execution count."""
+    request_fields = {
+        "kind": request.kind,
+        "request_key": request.request_key,
+        "run": execution_count,
+    }
     body = _body(snapshot.version, snapshot.shard_count, shard, service=service, key=request.key)
-    return json.dumps({**json.loads(body), **receipt_fields}).encode()
+    return json.dumps({**json.loads(body), **request_fields}).encode()
 
 
 @functools.lru_cache(maxsize=4096)
@@ -60,5 +66,7 @@
     )
 
 
-def _body(version: int, shard_count: int, shard: int, **more: str) -> str:
-    return json.dumps({"version": version, "shard_count": shard_count, "shard": shard, **more})
+def _body(version: int, shard_count: int, shard: int, **extra_fields: str) -> str:
+    return json.dumps(
+        {"version": version, "shard_count": shard_count, "shard": shard, **extra_fields}
+    )
--- a/bramleycrank/standin/faults.py
+++ b/bramleycrank/standin/faults.py
@@ -1,4 +1,4 @@
-"""Faults of one stand-in target and the service times that follow from them."""
+"""Injected faults of one stand-in target and the service times that result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Disposition(enum.Enum):
-    """What happens to a sub-request."""
+    """How a target handles a sub-request."""
 
     RUN = "run"
     SHED = "shed"
@@ -22,18 +22,18 @@
 
 @attrs.define
 class Faults:
-    """Faults in force; zero means none.
+    """Injected faults; zero means no fault.
 
     Parameters
     ----------
     latency_ms : float
-        Median service time in milliseconds that replaces the one of the settings.
+        Median service time in milliseconds; overrides the setting.
     straggler_share, shed_share, fail_share : float
-        Shares of the sub-requests.
+        Shares of sub-requests that are stragglers, shed or failed, 0 to 1.
     straggler_factor : float
         Factor on the service time of stragglers.
     frozen : bool
-        Whether the target answers nothing.
+        Whether the target sends nothing and stops renewing its lease.
     """
 
     latency_ms: float = 0.0
@@ -44,18 +44,18 @@
     frozen: bool = False
 
     def updated(self, req: FaultRequest) -> Faults:
-        """Return the faults after a request; fields of the request that are 0 change nothing."""
+        """Return the faults with a request applied; fields that are 0 keep their value."""
         base = Faults() if req.reset else self
-        given = {
+        overrides = {
             name: getattr(req, name)
             for name in (field.name for field in attrs.fields(Faults))
             if getattr(req, name)
         }
-        return attrs.evolve(base, **given)
+        return attrs.evolve(base, **overrides)
 
 
 class ServiceTimes:
-    """Draws the disposition and the service time of sub-requests.
+    """Draws the outcome and the service time of sub-requests.
 
     Parameters
     ----------
@@ -73,8 +73,8 @@
         self._rng = rng
         self._started_at = started_at
 
-    def disposition(self) -> Disposition:
-        """Draw what happens to the next sub-request."""
+    def draw_disposition(self) -> Disposition:
+        """Draw how the next sub-request is handled."""
         faults = self.faults
         if faults.shed_share and self._rng.random() < faults.shed_share:
             return Disposition.SHED
@@ -82,24 +82,24 @@
             return Disposition.FAIL
         return Disposition.RUN
 
-    def draw(self, now: float) -> float:
+    def draw_service_time_s(self, now: float) -> float:
         """Draw a service time in seconds."""
         median_ms = self.median_ms
         if median_ms <= 0:
             return 0.0
-        drawn_ms = self._rng.lognormvariate(math.log(median_ms), self._cfg.sigma)
+        service_time_ms = self._rng.lognormvariate(math.log(median_ms), self._cfg.sigma)
         faults = self.faults
         if faults.straggler_share and self._rng.random() < faults.straggler_share:
-            drawn_ms *= faults.straggler_factor
-        return drawn_ms * self._cold_factor(now) / 1000
+            service_time_ms *= faults.straggler_factor
+        return service_time_ms * self._current_cold_factor(now) / 1000
 
     @property
     def median_ms(self) -> float:
         """Median service time of a warm target in milliseconds."""
         return self.faults.latency_ms or self._cfg.latency_ms
 
-    def _cold_factor(self, now: float) -> float:
-        age = now - self._started_at
-        if age >= self._cfg.cold_s:
+    def _current_cold_factor(self, now: float) -> float:
+        age_s = now - self._started_at
+        if age_s >= self._cfg.cold_s:
             return 1.0
-        return 1.0 + (self._cfg.cold_factor - 1.0) * (1.0 - age / self._cfg.cold_s)
+        return 1.0 + (self._cfg.cold_factor - 1.0) * (1.0 - age_s / self._cfg.cold_s)
--- a/bramleycrank/standin/fleet.py
+++ b/bramleycrank/standin/fleet.py
@@ -1,4 +1,4 @@
-"""All targets of one stand-in process with their servers."""
+"""The targets of one stand-in process and their servers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @attrs.frozen
-class Place:
-    """Place of a target in the fleet; `index` counts the targets of all domains."""
+class TargetSpec:
+    """Service, shard, replica and domain of a target; `index` counts over all domains."""
 
     index: int
     service: str
@@ -35,18 +35,18 @@
 
     @property
     def target_id(self) -> str:
-        """Name of the target."""
+        """Id of the target."""
         return f"{self.service}-{self.shard}-{self.replica}"
 
 
-def places(cfg: StandInSettings) -> Iterator[Place]:
-    """Yield the places of the targets that the process hosts."""
+def target_specs(cfg: StandInSettings) -> Iterator[TargetSpec]:
+    """Yield the specifications of the targets that the process hosts."""
     fleet = cfg.fleet
-    grid = itertools.product(fleet.services, range(fleet.shards), range(fleet.replicas))
-    for index, (service, shard, replica) in enumerate(grid):
+    combinations = itertools.product(fleet.services, range(fleet.shards), range(fleet.replicas))
+    for index, (service, shard, replica) in enumerate(combinations):
         domain = fleet.domains[replica % len(fleet.domains)]
         if fleet.only_domain in ("", domain):
-            yield Place(index, service, shard, replica, domain)
+            yield TargetSpec(index, service, shard, replica, domain)
 
 
 class Fleet:
@@ -70,18 +70,24 @@
     async def start(self) -> None:
         """Open all listeners and start to announce the targets."""
         incarnation = time.time_ns() // 1_000_000
-        for place in places(self._cfg):
-            await self._start_target(place, incarnation)
+        for spec in target_specs(self._cfg):
+            await self._start_target(spec, incarnation)
         control = StandInService(self.targets)
         port = await self._serve(control, self._cfg.listen.control_port)
         self.control_address = f"{self._cfg.listen.host}:{port}"
 
-    async def stop(self, limit_s: float = 5.0) -> None:
-        """Leave, finish what runs within the limit in seconds, then close everything."""
+    async def stop(self, timeout_s: float = 5.0) -> None:
+        """Deregister the targets, finish open sub-requests, then close everything.
+
+        Parameters
+        ----------
+        timeout_s : float, optional
+            Longest wait in seconds for each of the two steps.
+        """
         for target in self.targets.values():
             target.set_state(pb.TARGET_STATE_LEAVING)
-        await asyncio.gather(*(a.wait_left(limit_s) for a in self._announcers))
-        deadline = asyncio.get_running_loop().time() + limit_s
+        await asyncio.gather(*(a.wait_leave_confirmed(timeout_s) for a in self._announcers))
+        deadline = asyncio.get_running_loop().time() + timeout_s
         while asyncio.get_running_loop().time() < deadline:
             if all(target.idle for target in self.targets.values()):
                 break
@@ -89,48 +95,48 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close everything at once, as a crash would."""
+        """Close everything at once, without leave messages, as in a crash."""
         for task in self._tasks:
             task.cancel()
-        # A call on a closed channel fails with that error and hides the cancellation.
+        # A call on a closed channel raises an error that replaces the cancellation.
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for server in self._servers:
             server.close()
         self._channels.close()
 
-    async def _start_target(self, place: Place, incarnation: int) -> None:
+    async def _start_target(self, spec: TargetSpec, incarnation: int) -> None:
         cfg = self._cfg
         target = StandInTarget(
-            self._record(place, incarnation),
+            self._new_record(spec, incarnation),
             cfg.capacity,
             cfg.timing,
-            Random(f"{cfg.timing.seed}/{place.target_id}"),
+            Random(f"{cfg.timing.seed}/{spec.target_id}"),
         )
         first = cfg.listen.first_port
         service = TargetService(target)
-        target.record.port = await self._serve(service, first + place.index if first else 0)
+        target.record.port = await self._serve(service, first + spec.index if first else 0)
         vms = cfg.registry.vms
-        turn = place.index % len(vms) if vms else 0
+        vm_offset = spec.index % len(vms) if vms else 0
         announcer = Announcer(
-            target, (*vms[turn:], *vms[:turn]), self._channels, cfg.registry.timeout_s
+            target, (*vms[vm_offset:], *vms[:vm_offset]), self._channels, cfg.registry.timeout_s
         )
         self._announcers.append(announcer)
         self._tasks.append(asyncio.ensure_future(announcer.run()))
         self._tasks.append(asyncio.ensure_future(self._warm_up(target)))
-        self.targets[place.target_id] = target
+        self.targets[spec.target_id] = target
 
-    def _record(self, place: Place, incarnation: int) -> pb.TargetRecord:
+    def _new_record(self, spec: TargetSpec, incarnation: int) -> pb.TargetRecord:
         cfg = self._cfg
         snapshot = pb.Snapshot(version=cfg.fleet.version, shard_count=cfg.fleet.shards)
         return pb.TargetRecord(
-            target_id=place.target_id,
+            target_id=spec.target_id,
             incarnation=incarnation,
             sequence=1,
             state=pb.TARGET_STATE_WARMING,
-            service=place.service,
+            service=spec.service,
             host=cfg.listen.host,
-            domain=place.domain,
-            replicas=[pb.Replica(snapshot=snapshot, shard=place.shard)],
+            domain=spec.domain,
+            replicas=[pb.Replica(snapshot=snapshot, shard=spec.shard)],
             slots=cfg.capacity.slots,
             connections=cfg.capacity.connections,
         )
@@ -152,7 +158,7 @@
     """Return a bound socket.
 
     The protocol number is given because asyncio sets TCP_NODELAY only on sockets that name TCP;
-    without it replies wait for the far side's delayed acknowledgement.
+    without it, replies are delayed until the remote side's delayed acknowledgement.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
--- a/bramleycrank/standin/main.py
+++ b/bramleycrank/standin/main.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-# Section of each command-line option; options that are lists take commas.
-SECTIONS = {
+# Settings section of each command-line option.
+OPTION_SECTIONS = {
     "services": "fleet",
     "shards": "fleet",
     "replicas": "fleet",
@@ -42,7 +42,7 @@
     "cold_s": "timing",
     "seed": "timing",
 }
-LISTS = frozenset({"services", "domains", "vms"})
+LIST_OPTIONS = frozenset({"services", "domains", "vms"})
 
 
 def run(
@@ -67,7 +67,7 @@
     cold_s: float | None = None,
     seed: int | None = None,
 ) -> None:
-    """Run stand-in targets until SIGTERM or SIGINT, then leave and exit.
+    """Run stand-in targets until SIGTERM or SIGINT, then deregister them and exit.
 
     Prints one JSON line with the addresses once all listeners are open. Options override the
     settings file; docs/settings.md describes them all.
@@ -87,7 +87,7 @@
     only_domain : str
         Host the targets of this domain only.
     version : int
-        Index version at the start.
+        Initial index version.
     host : str
         IP number of all listeners.
     first_port : int
@@ -97,7 +97,7 @@
     vms : str
         VM addresses host:port, separated by commas.
     slots : int
-        Sub-requests that a target runs at a time.
+        Sub-requests that a target runs concurrently.
     queue_limit : int
         Sub-requests that may wait for a slot.
     connections : int
@@ -109,19 +109,26 @@
     connection_ms : float
         Time to set up a connection in ms.
     warming_s : float
-        Time in s in which a target announces itself as warming.
+        Time in s that a new target is in the state WARMING.
     cold_s : float
-        Time in s in which a new target is slower.
+        Time in s that a new target has longer service times.
     seed : int
-        Seed of all random choices.
+        Seed of all random numbers.
     """
-    given = {name: value for name, value in locals().items() if name != "settings"}
+    overrides = {name: value for name, value in locals().items() if name != "settings"}
     logs.configure(LoggingSettings(), "standin")
-    asyncio.run(_serve(read_settings(str(settings), given)))
+    asyncio.run(_serve(read_settings(str(settings), overrides)))
 
 
-def read_settings(path: str, given: dict[str, Any]) -> StandInSettings:
-    """Return the settings of a file (which may be empty text) with options on top.
+def read_settings(path: str, overrides: dict[str, Any]) -> StandInSettings:
+    """Return the settings of a file, overridden by command-line options.
+
+    Parameters
+    ----------
+    path : str
+        TOML file; empty: none.
+    overrides : dict
+        Command-line options by name; None where an option is absent.
 
     Raises
     ------
@@ -129,35 +136,37 @@
         With one line for each problem.
     """
     data = loader.read_toml(Path(path)) if path else {}
-    for name, value in given.items():
+    for name, value in overrides.items():
         if value is not None:
-            data.setdefault(SECTIONS[name], {})[name] = _words(value) if name in LISTS else value
+            data.setdefault(OPTION_SECTIONS[name], {})[name] = (
+                _list_items(value) if name in LIST_OPTIONS else value
+            )
     return StandInSettings.from_dict(data, source=path or "options")
 
 
-def _words(value: object) -> list[str]:
-    """Return the parts of a list option; fire turns plain words with commas into a tuple."""
+def _list_items(value: object) -> list[str]:
+    """Return the items of a list option; fire parses text with commas as a tuple."""
     parts = value.split(",") if isinstance(value, str) else value
     items = parts if isinstance(parts, list | tuple) else [parts]
     return [str(item) for item in items]
 
 
 async def _serve(cfg: StandInSettings) -> None:
-    stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopping.set)
+    stop_requested = asyncio.Event()
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signum, stop_requested.set)
     fleet = Fleet(cfg)
     await fleet.start()
     addresses = {
         name: f"{target.record.host}:{target.record.port}" for name, target in fleet.targets.items()
     }
     print(json.dumps({"control": fleet.control_address, "targets": addresses}), flush=True)
-    await stopping.wait()
+    await stop_requested.wait()
     await fleet.stop()
 
 
 def main() -> None:
-    """Run the program; the exit code is that of the error type."""
+    """Run the program; an error sets the exit code of its type."""
     try:
         fire.Fire(run)
     except BramleycrankError as exc:
--- a/bramleycrank/standin/session.py
+++ b/bramleycrank/standin/session.py
@@ -1,4 +1,4 @@
-"""The target's side of `Target.Session`."""
+"""Target side of `Target.Session`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from bramleycrank.proto.target_grpc import TargetBase
 from bramleycrank.standin.target import StandInTarget
 
-# Load reports ride on replies, at most this often on each session.
-LOAD_REPORT_PERIOD_S = 0.05
+# Minimum interval between load reports, which are sent along with replies, per session.
+LOAD_REPORT_INTERVAL_S = 0.05
 
 
 class Session:
-    """One open session; collects what one loop turn produced into one message.
+    """One open session; sends all output of one event loop iteration as one message.
 
     Parameters
     ----------
@@ -32,23 +32,23 @@
         self._target = target
         self._stream = stream
         self._pending = pb.SessionReply()
-        self._wake = asyncio.Event()
-        self._next_load_report = 0.0
+        self._output_ready = asyncio.Event()
+        self._next_load_report_at = 0.0
         self.silent = False
 
     def on_reply(self, reply: pb.SubReply) -> None:
         """Queue the reply of a sub-request."""
         self._pending.replies.append(reply)
-        self._wake.set()
+        self._output_ready.set()
 
     def go_silent(self) -> None:
-        """Answer nothing from now on, pings included."""
+        """Stop sending replies and pongs while the connection stays open."""
         self.silent = True
 
     async def run(self) -> None:
-        """Serve the session until the VM ends it."""
+        """Serve the session until the VM closes the stream."""
         writer = asyncio.ensure_future(self._write())
-        self._wake.set()
+        self._output_ready.set()
         try:
             while (message := await self._stream.recv_message()) is not None:
                 await self._target.resumed.wait()
@@ -65,20 +65,20 @@
             self._target.cancel(self, sub_id)
         if message.ping:
             self._pending.pong = message.ping
-            self._wake.set()
+            self._output_ready.set()
 
     async def _write(self) -> None:
-        """Send what is pending; the first message only carries the load."""
+        """Send pending output; the first message contains only the load report."""
         while True:
-            await self._wake.wait()
+            await self._output_ready.wait()
             await self._target.resumed.wait()
-            self._wake.clear()
+            self._output_ready.clear()
             message, self._pending = self._pending, pb.SessionReply()
             if self.silent:
                 continue
             now = self._loop.time()
-            if now >= self._next_load_report:
-                self._next_load_report = now + LOAD_REPORT_PERIOD_S
+            if now >= self._next_load_report_at:
+                self._next_load_report_at = now + LOAD_REPORT_INTERVAL_S
                 message.load.CopyFrom(self._target.load())
             try:
                 await self._stream.send_message(message)
@@ -100,10 +100,10 @@
         self._silent_peers: set[object] = set()
 
     async def Session(self, stream: Stream) -> None:  # noqa: N802
-        """Serve one session, or refuse it if the limit on connections is reached."""
+        """Serve one session, or refuse it at the connection limit."""
         session = Session(self._target, stream)
         peer = stream.peer.addr() if stream.peer else None
-        # A silent connection stays silent when the VM opens another stream on it.
+        # Silence applies to the connection, so it also covers later streams on it.
         session.silent = peer in self._silent_peers
         if not self._target.add_sink(session):
             raise grpclib.GRPCError(grpclib.const.Status.RESOURCE_EXHAUSTED, "too many connections")
@@ -113,4 +113,4 @@
         finally:
             if session.silent:
                 self._silent_peers.add(peer)
-            self._target.drop_sink(session)
+            self._target.remove_sink(session)
--- a/bramleycrank/standin/settings.py
+++ b/bramleycrank/standin/settings.py
@@ -26,12 +26,12 @@
 
 @attrs.frozen(kw_only=True)
 class FleetSettings:
-    """Which targets the process hosts."""
+    """Targets that the process hosts."""
 
     services: tuple[str, ...] = option(
         ListOf(Name(), minimum=1, maximum=100),
         default=("demo",),
-        meaning="Services, all of the same shape.",
+        meaning="Services, all with the same shards, replicas and domains.",
     )
     shards: int = option(
         Integer(1, 10_000), default=1, unit="shards", meaning="Shards of each service."
@@ -50,13 +50,13 @@
         meaning="Host the targets of this domain only; empty: all.",
     )
     version: int = option(
-        Integer(1, 2**53), default=1, unit="index version", meaning="Index version at the start."
+        Integer(1, 2**53), default=1, unit="index version", meaning="Initial index version."
     )
 
 
 @attrs.frozen(kw_only=True)
 class ListenSettings:
-    """Where the targets and the control service listen."""
+    """Addresses of the targets and the control service."""
 
     host: str = option(IpNumber(), default="127.0.0.1", meaning="IP number of all listeners.")
     first_port: int = option(
@@ -71,15 +71,15 @@
 
 @attrs.frozen(kw_only=True)
 class RegistrySettings:
-    """Where the targets announce themselves."""
+    """VMs that the targets announce themselves to."""
 
     vms: tuple[Address, ...] = option(
         ListOf(HostPort(), maximum=1000),
         default=(),
-        meaning="gRPC addresses of VMs; a target announces to one and moves on when that fails.",
+        meaning="gRPC addresses of VMs; a target announces to one at a time.",
     )
     timeout_s: float = option(
-        Number(0.05, 60), default=1.0, unit="s", meaning="Longest wait for an answer of a VM."
+        Number(0.05, 60), default=1.0, unit="s", meaning="Timeout of a call to a VM."
     )
 
 
@@ -88,7 +88,10 @@
     """Capacity of each target."""
 
     slots: int = option(
-        Integer(1, 10_000), default=4, unit="sub-requests", meaning="Sub-requests run at a time."
+        Integer(1, 10_000),
+        default=4,
+        unit="sub-requests",
+        meaning="Sub-requests that run concurrently.",
     )
     queue_limit: int = option(
         Integer(0, 100_000),
@@ -97,7 +100,10 @@
         meaning="Sub-requests that may wait for a slot; more are shed.",
     )
     connections: int = option(
-        Integer(1, 100_000), default=30, unit="connections", meaning="Connections accepted."
+        Integer(1, 100_000),
+        default=30,
+        unit="connections",
+        meaning="Maximum number of connections.",
     )
 
 
@@ -118,28 +124,28 @@
         Number(0, 3600),
         default=0.0,
         unit="s",
-        meaning="Time in which a new target announces itself as warming.",
+        meaning="Time that a new target is in the state WARMING.",
     )
     cold_s: float = option(
         Number(0, 3600),
         default=0.0,
         unit="s",
-        meaning="Time in which a new target is slower; the factor shrinks linearly to 1.",
+        meaning="Time that a new target is slower; the factor falls linearly to 1.",
     )
     cold_factor: float = option(
         Number(1, 1000), default=5.0, meaning="Factor on the service time of a cold target."
     )
-    seed: int = option(Integer(0, 2**53), default=1, meaning="Seed of all random choices.")
+    seed: int = option(Integer(0, 2**53), default=1, meaning="Seed of all random numbers.")
 
 
 @attrs.frozen(kw_only=True)
 class StandInSettings:
     """All settings of a stand-in process."""
 
-    fleet: FleetSettings = section(FleetSettings, meaning="Which targets the process hosts.")
+    fleet: FleetSettings = section(FleetSettings, meaning="Targets that the process hosts.")
     listen: ListenSettings = section(ListenSettings, meaning="Addresses to listen on.")
     registry: RegistrySettings = section(
-        RegistrySettings, meaning="Where the targets announce themselves."
+        RegistrySettings, meaning="VMs that the targets announce themselves to."
     )
     capacity: CapacitySettings = section(CapacitySettings, meaning="Capacity of each target.")
     timing: TimingSettings = section(TimingSettings, meaning="Service times.")
@@ -167,7 +173,7 @@
         return loader.load(cls, data, source)
 
     def check(self, problems: loader.Problems) -> None:
-        """Report combinations of values that cannot work together."""
+        """Report values that are invalid in combination."""
         fleet, first = self.fleet, self.listen.first_port
         if fleet.only_domain and fleet.only_domain not in fleet.domains:
             allowed = "one of fleet.domains (" + ", ".join(fleet.domains) + ")"
--- a/bramleycrank/standin/target.py
+++ b/bramleycrank/standin/target.py
@@ -1,4 +1,4 @@
-"""One stand-in target: slots, a bounded queue, deadlines, cancellation and counted effects."""
+"""One stand-in target: slots, a bounded queue, deadlines, cancellation and effect counters."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 
 
 class ReplySink(Protocol):
-    """A session that takes replies."""
+    """Receives the replies of a target's sub-requests."""
 
     def on_reply(self, reply: pb.SubReply) -> None:
-        """Take the reply of a sub-request."""
+        """Receive the reply of a sub-request."""
         ...
 
     def go_silent(self) -> None:
-        """Stop answering for good while the connection stays open."""
+        """Stop sending permanently while the connection stays open."""
         ...
 
 
 @attrs.define(eq=False)
 class Job:
-    """A sub-request that waits or runs.
+    """A queued or running sub-request.
 
     Parameters
     ----------
     request : SubRequest
-        What to run.
+        The sub-request.
     sink : ReplySink
-        Where the reply goes.
+        Receiver of the reply.
     deadline : float
-        End of its time, in seconds of the loop's clock.
+        Deadline, in seconds of the loop's clock.
     timer : asyncio.TimerHandle, optional
-        Set while it runs.
+        Timer of the end of execution; set while the sub-request runs.
     """
 
     request: pb.SubRequest
@@ -55,7 +55,7 @@
 
     @property
     def key(self) -> tuple[ReplySink, int]:
-        """Identity within the target."""
+        """Key of the sub-request within the target."""
         return (self.sink, self.request.sub_id)
 
 
@@ -77,11 +77,11 @@
     Parameters
     ----------
     record : TargetRecord
-        What the target announces; changed in place.
+        Record that the target announces; changed in place.
     capacity : CapacitySettings
-        Slots, queue and connections.
+        Limits on slots, queue and connections.
     timing : TimingSettings
-        Service times.
+        Distribution of the service times.
     rng : Random
         Seeded generator of this target.
     """
@@ -104,20 +104,20 @@
         self.resumed = asyncio.Event()
         self.resumed.set()
         self._rng = rng
-        self._times = ServiceTimes(timing, rng, self._loop.time())
-        self._held: set[tuple[int, int, int]] = set()
+        self._service_times = ServiceTimes(timing, rng, self._loop.time())
+        self._held_replicas: set[tuple[int, int, int]] = set()
         self._running: dict[tuple[ReplySink, int], Job] = {}
         self._waiting: OrderedDict[tuple[ReplySink, int], Job] = OrderedDict()
-        self._index_replicas()
+        self._update_held_replicas()
 
     @property
     def leaving(self) -> bool:
-        """Whether the target takes no new work."""
+        """Whether the target is in the state LEAVING and refuses new sub-requests."""
         return self.record.state == pb.TARGET_STATE_LEAVING
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs or waits."""
+        """Whether no sub-request is queued or running."""
         return not self._running and not self._waiting
 
     def load(self) -> pb.LoadReport:
@@ -127,7 +127,7 @@
         )
 
     def submit(self, request: pb.SubRequest, sink: ReplySink) -> None:
-        """Take a sub-request; the reply goes to the sink, at once if it is refused."""
+        """Accept, queue, shed or refuse a sub-request; the sink receives the reply."""
         self.counts.received += 1
         refusal = self._refusal(request)
         if refusal is not None:
@@ -137,13 +137,13 @@
         job = Job(request, sink, now + request.timeout_ms / 1000)
         if len(self._running) < self.capacity.slots:
             self._start(job, now)
-        elif self._has_room(now):
+        elif self._has_queue_capacity(now):
             self._waiting[job.key] = job
         else:
             self._shed(job)
 
     def cancel(self, sink: ReplySink, sub_id: int) -> None:
-        """Stop a sub-request; it gets no reply."""
+        """Cancel a sub-request without a reply."""
         job = self._waiting.pop((sink, sub_id), None) or self._running.pop((sink, sub_id), None)
         if job is None:
             return
@@ -153,23 +153,23 @@
             self._fill_slots()
 
     def add_sink(self, sink: ReplySink) -> bool:
-        """Count a new session; false if the limit on connections is reached."""
+        """Register a new session; return False at the connection limit."""
         if len(self.sinks) >= self.capacity.connections:
             return False
         self.sinks.add(sink)
         self.counts.peak_connections = max(self.counts.peak_connections, len(self.sinks))
         return True
 
-    def drop_sink(self, sink: ReplySink) -> None:
-        """Forget a session that ended and cancel its sub-requests."""
+    def remove_sink(self, sink: ReplySink) -> None:
+        """Remove a session that ended and cancel its sub-requests."""
         self.sinks.discard(sink)
-        for holder, sub_id in [key for key in (*self._waiting, *self._running) if key[0] is sink]:
-            self.cancel(holder, sub_id)
+        for owner, sub_id in [key for key in (*self._waiting, *self._running) if key[0] is sink]:
+            self.cancel(owner, sub_id)
 
     def set_fault(self, req: FaultRequest) -> None:
-        """Apply a fault command."""
-        self._times.faults = self._times.faults.updated(req)
-        if self._times.faults.frozen:
+        """Apply a fault request."""
+        self._service_times.faults = self._service_times.faults.updated(req)
+        if self._service_times.faults.frozen:
             self.resumed.clear()
         else:
             self.resumed.set()
@@ -179,20 +179,20 @@
 
     def set_replicas(self, replicas: Iterable[pb.Replica]) -> None:
         """Replace the replicas that the target holds; running sub-requests finish."""
-        kept = list(replicas)
+        new_replicas = list(replicas)
         del self.record.replicas[:]
-        self.record.replicas.extend(kept)
-        self._index_replicas()
-        self.note_change()
+        self.record.replicas.extend(new_replicas)
+        self._update_held_replicas()
+        self.mark_changed()
 
     def set_state(self, state: pb.TargetState) -> None:
         """Change the announced state; LEAVING is final."""
         if not self.leaving and state != self.record.state:
             self.record.state = state
-            self.note_change()
+            self.mark_changed()
 
-    def note_change(self) -> None:
-        """Make the next announcement count as a change, and send it soon."""
+    def mark_changed(self) -> None:
+        """Increase the record's sequence and trigger an announcement."""
         self.record.sequence += 1
         self.changed.set()
 
@@ -205,8 +205,8 @@
             **attrs.asdict(self.counts),
         )
 
-    def _index_replicas(self) -> None:
-        self._held = {
+    def _update_held_replicas(self) -> None:
+        self._held_replicas = {
             (r.snapshot.version, r.snapshot.shard_count, r.shard) for r in self.record.replicas
         }
 
@@ -215,13 +215,13 @@
         if self.leaving:
             self.counts.received_while_leaving += 1
             return pb.SUB_STATUS_LEAVING
-        place = (request.snapshot.version, request.snapshot.shard_count, request.shard)
-        if request.service != self.record.service or place not in self._held:
+        shard_key = (request.snapshot.version, request.snapshot.shard_count, request.shard)
+        if request.service != self.record.service or shard_key not in self._held_replicas:
             return pb.SUB_STATUS_SNAPSHOT_GONE
         return None
 
-    def _has_room(self, now: float) -> bool:
-        """Return whether the queue has room after dropping what has expired."""
+    def _has_queue_capacity(self, now: float) -> bool:
+        """Return whether the queue accepts a job, removing expired ones if it is full."""
         if len(self._waiting) < self.capacity.queue_limit:
             return True
         for job in [job for job in self._waiting.values() if job.deadline <= now]:
@@ -232,23 +232,23 @@
     def _shed(self, job: Job) -> None:
         self.counts.shed += 1
         reply = self._reply(job.request, pb.SUB_STATUS_SHED)
-        turns = (len(self._waiting) + 1) / self.capacity.slots
-        reply.retry_after_ms = max(1, round(turns * self._times.median_ms))
+        queue_rounds = (len(self._waiting) + 1) / self.capacity.slots
+        reply.retry_after_ms = max(1, round(queue_rounds * self._service_times.median_ms))
         job.sink.on_reply(reply)
 
     def _start(self, job: Job, now: float) -> None:
-        """Run a job in a free slot, unless its time is over or a fault stops it."""
+        """Run a job in a free slot, unless its deadline has passed or a fault sheds it."""
         if job.deadline <= now:
             job.sink.on_reply(self._reply(job.request, pb.SUB_STATUS_DEADLINE))
             return
-        disposition = self._times.disposition()
+        disposition = self._service_times.draw_disposition()
         if disposition is Disposition.SHED:
             self._shed(job)
             return
         if job.request.kind not in data.READ_KINDS:
-            # Counted at the start: from here on the request may have taken effect.
+            # Counted at the start, because a cancelled execution may already have had its effect.
             self.effects[job.request.request_key] += 1
-        end = now + self._times.draw(now)
+        end = now + self._service_times.draw_service_time_s(now)
         status = pb.SUB_STATUS_OK if end <= job.deadline else pb.SUB_STATUS_DEADLINE
         if disposition is Disposition.FAIL:
             status = pb.SUB_STATUS_FAILED
@@ -270,17 +270,17 @@
             self._start(job, self._loop.time())
 
     def _add_result(self, request: pb.SubRequest, reply: pb.SubReply) -> None:
-        """Add hits or the payload, or turn the reply into a failure for a wrong key."""
-        place = (request.service, request.snapshot, request.shard)
+        """Add hits or the payload; fail the reply if the key belongs to another shard."""
+        shard_key = (request.service, request.snapshot, request.shard)
         if request.kind in ("search", "quick_match"):
-            reply.hits.extend(data.search(*place, request.query, request.limit))
+            reply.hits.extend(data.search(*shard_key, request.query, request.limit))
         elif data.shard_of(request.key, request.snapshot.shard_count) != request.shard:
             log.warning("standin: key %r is not in shard %d", request.key, request.shard)
             reply.status = pb.SUB_STATUS_FAILED
         elif request.kind == "fetch":
-            reply.hits.extend(data.fetch(*place, request.key))
+            reply.hits.extend(data.fetch(*shard_key, request.key))
         else:
-            reply.payload = data.receipt(*place, request, self.effects[request.request_key])
+            reply.payload = data.receipt(*shard_key, request, self.effects[request.request_key])
 
     @staticmethod
     def _reply(request: pb.SubRequest, status: pb.SubStatus) -> pb.SubReply:
