--- a/tests/standin_fakes.py
+++ b/tests/standin_fakes.py
@@ -19,13 +19,13 @@
 HOST = "127.0.0.1"
 SNAPSHOT = pb.Snapshot(version=1, shard_count=1)
 
-# Longest wait of one step on a busy machine, in seconds.
+# Generous, because CI machines can be busy.
 WAIT_LIMIT_S = 10.0
 
 
 @contextlib.asynccontextmanager
 async def fleet(**sections):
-    """Run a fleet with one target, unless the sections say otherwise."""
+    """Run a fleet; without settings it has one target."""
     running = Fleet(StandInSettings.from_dict(sections))
     await running.start()
     try:
@@ -53,7 +53,7 @@
         self.replies = []
         self.pongs = []
         self.loads = []
-        self._ids = iter(range(1, 1_000_000))
+        self._next_sub_ids = iter(range(1, 1_000_000))
 
     async def send(self, count=1, **fields):
         """Send sub-requests in one message and return their ids."""
@@ -66,7 +66,8 @@
             "limit": 3,
         }
         requests = [
-            pb.SubRequest(sub_id=next(self._ids), **{**defaults, **fields}) for _ in range(count)
+            pb.SubRequest(sub_id=next(self._next_sub_ids), **{**defaults, **fields})
+            for _ in range(count)
         ]
         await self.stream.send_message(pb.SessionRequest(requests=requests))
         return [request.sub_id for request in requests]
@@ -80,7 +81,7 @@
         await self.stream.send_message(pb.SessionRequest(cancel_sub_ids=sub_ids))
 
     async def receive(self, done, timeout_s=WAIT_LIMIT_S):
-        """Read messages until a condition on this client holds."""
+        """Read messages until the condition is true of this client."""
         async with asyncio.timeout(timeout_s):
             while not done(self):
                 message = await self.stream.recv_message()
@@ -91,7 +92,7 @@
                 if message.HasField("load"):
                     self.loads.append(message.load)
 
-    async def ask(self, count=1, **fields):
+    async def request(self, count=1, **fields):
         """Send sub-requests and return their replies in the order of their ids."""
         ids = await self.send(count, **fields)
         await self.receive(lambda c: set(ids) <= {r.sub_id for r in c.replies})
@@ -100,7 +101,7 @@
 
 @contextlib.asynccontextmanager
 async def session(target):
-    """Open a session on a connection of its own."""
+    """Open a session on a new connection."""
     channel = Channel(target.record.host, target.record.port)
     try:
         async with TargetStub(channel).Session.open() as stream:
@@ -133,7 +134,7 @@
 
     @unary
     async def Announce(self, request):  # noqa: N802
-        """Record an announcement, or never answer."""
+        """Record an announcement, or never reply while frozen."""
         if self.frozen:
             await asyncio.Event().wait()
         self.announced.append(request.record)
@@ -141,13 +142,13 @@
 
     @unary
     async def Leave(self, request):  # noqa: N802
-        """Record a leaving target."""
+        """Record the id of a target that leaves."""
         self.left.append(request.target_id)
         return pb.LeaveReply()
 
 
 async def until(condition):
-    """Wait until a condition holds."""
+    """Wait until a condition is true."""
     async with asyncio.timeout(WAIT_LIMIT_S):
         while not condition():
             await asyncio.sleep(0.01)
--- a/tests/test_standin_announcer.py
+++ b/tests/test_standin_announcer.py
@@ -6,22 +6,24 @@
 
 from bramleycrank.proto import target_pb2 as pb
 
-THREE = {"shards": 3, "domains": ["a", "b"], "replicas": 2}
+SIX_TARGETS = {"shards": 3, "domains": ["a", "b"], "replicas": 2}
 
 
-async def registries(count):
-    found = [FakeRegistry() for _ in range(count)]
-    for registry in found:
+async def start_registries(count):
+    started = [FakeRegistry() for _ in range(count)]
+    for registry in started:
         await registry.start()
-    return found
+    return started
 
 
-def test_targets_spread_over_vms_and_renew():
-    """Guards against one VM that becomes the home of all targets, and leases that run out."""
+def test_targets_are_distributed_over_vms_and_renew_their_leases():
+    """Guards against one VM becoming the home of all targets, and against expiring leases."""
 
     async def body():
-        first, second = await registries(2)
-        async with fleet(fleet=THREE, registry={"vms": [first.address, second.address]}) as running:
+        first, second = await start_registries(2)
+        async with fleet(
+            fleet=SIX_TARGETS, registry={"vms": [first.address, second.address]}
+        ) as running:
             await until(lambda: len(first.announced) >= 9 and len(second.announced) >= 9)
             homes = [{r.target_id for r in registry.announced} for registry in (first, second)]
             assert homes[0] | homes[1] == set(running.targets) and not homes[0] & homes[1]
@@ -34,17 +36,17 @@
     asyncio.run(body())
 
 
-def test_a_target_moves_on_when_its_vm_fails():
-    """Guards against a target that is lost together with its home VM."""
+def test_a_target_switches_to_another_vm_when_its_home_vm_is_silent():
+    """Guards against a target that becomes unknown when its home VM fails."""
 
     async def body():
-        first, second = await registries(2)
+        first, second = await start_registries(2)
         registry = {"vms": [first.address, second.address], "timeout_s": 0.1}
         async with fleet(registry=registry):
             await until(lambda: len(first.announced) >= 2)
             first.frozen = True
             await until(lambda: second.announced)
-            # The sequence grows, so that the record wins where the lease has run out.
+            # The higher sequence lets the record replace one that was marked as expired.
             assert second.announced[0].sequence > first.announced[-1].sequence
         for registry in (first, second):
             await registry.stop()
@@ -52,14 +54,14 @@
     asyncio.run(body())
 
 
-def test_a_stop_tells_a_vm_that_the_target_leaves():
-    """Guards against a planned stop that VMs learn of only by failures."""
+def test_stop_sends_a_leave_message():
+    """Guards against a planned stop that VMs detect only by failed sub-requests."""
 
     async def body():
-        (registry,) = await registries(1)
+        (registry,) = await start_registries(1)
         async with fleet(registry={"vms": [registry.address]}) as running:
             await until(lambda: registry.announced)
-            await running.stop(limit_s=5)
+            await running.stop(timeout_s=5)
             assert registry.left == ["demo-0-0"]
             assert all(record.state != pb.TARGET_STATE_LEAVING for record in registry.announced)
         await registry.stop()
@@ -67,11 +69,11 @@
     asyncio.run(body())
 
 
-def test_a_warming_target_says_so():
-    """Guards against full load on a target that has just started."""
+def test_a_new_target_announces_warming_then_serving():
+    """Guards against full load on a target that is still warming."""
 
     async def body():
-        (registry,) = await registries(1)
+        (registry,) = await start_registries(1)
         timing = {"warming_s": 0.3}
         async with fleet(registry={"vms": [registry.address]}, timing=timing):
             await until(lambda: registry.announced)
@@ -84,10 +86,10 @@
 
 
 def test_a_frozen_target_does_not_renew():
-    """Guards against a lease that hides a target which answers nothing."""
+    """Guards against a lease that stays valid while the target is unresponsive."""
 
     async def body():
-        (registry,) = await registries(1)
+        (registry,) = await start_registries(1)
         async with fleet(registry={"vms": [registry.address]}) as running:
             await until(lambda: registry.announced)
             (target,) = running.targets.values()
--- a/tests/test_standin_target.py
+++ b/tests/test_standin_target.py
@@ -29,11 +29,11 @@
     return [pb.SubStatus.Name(reply.status).removeprefix("SUB_STATUS_") for reply in replies]
 
 
-def test_hits_are_those_of_the_asked_snapshot():
-    """Guards against a test double whose answers cannot tell a mix of versions."""
+def test_hits_belong_to_the_requested_snapshot():
+    """Guards against replies in which tests cannot detect mixed snapshots."""
 
     async def scenario(running, target, client):
-        (reply,) = await client.ask()
+        (reply,) = await client.request()
         assert statuses([reply]) == ["OK"] and reply.snapshot == SNAPSHOT
         assert list(reply.hits) == list(data.search("demo", SNAPSHOT, 0, "bell", 3))
         scores = [hit.score for hit in reply.hits]
@@ -47,39 +47,39 @@
 
 
 def test_a_snapshot_that_is_not_held_is_refused():
-    """Guards against answers from a snapshot that the target no longer has."""
+    """Guards against replies from a snapshot that the target no longer holds."""
 
     async def scenario(running, target, client):
         newer = pb.Snapshot(version=2, shard_count=2)
-        assert statuses(await client.ask(snapshot=newer)) == ["SNAPSHOT_GONE"]
+        assert statuses(await client.request(snapshot=newer)) == ["SNAPSHOT_GONE"]
         async with control(running) as stub:
             replicas = [pb.Replica(snapshot=newer, shard=1)]
             request = standin_pb2.SetReplicasRequest(target_id="demo-0-0", replicas=replicas)
             await stub.SetReplicas(request)
-        assert statuses(await client.ask()) == ["SNAPSHOT_GONE"]
-        assert statuses(await client.ask(snapshot=newer, shard=1)) == ["OK"]
+        assert statuses(await client.request()) == ["SNAPSHOT_GONE"]
+        assert statuses(await client.request(snapshot=newer, shard=1)) == ["OK"]
         assert target.record.sequence > 1
 
     run(scenario)
 
 
 def test_fetch_checks_that_the_key_is_in_the_shard():
-    """Guards against a router that sends keys to the wrong shard unnoticed."""
+    """Guards against routing errors that send keys to the wrong shard undetected."""
 
     async def scenario(running, target, client):
         snapshot = pb.Snapshot(version=1, shard_count=4)
         shard = data.shard_of("clapper", 4)
         fields = {"kind": "fetch", "key": "clapper", "snapshot": snapshot}
         target.set_replicas([pb.Replica(snapshot=snapshot, shard=n) for n in range(4)])
-        replies = [(await client.ask(**fields, shard=n))[0] for n in range(4)]
+        replies = [(await client.request(**fields, shard=n))[0] for n in range(4)]
         assert [n for n, r in enumerate(replies) if r.status == pb.SUB_STATUS_OK] == [shard]
         assert replies[shard].hits[0].id == "clapper"
 
     run(scenario)
 
 
-def test_work_beyond_slots_and_queue_is_shed():
-    """Guards against a target without limits, which no overload test could load."""
+def test_sub_requests_beyond_slots_and_queue_are_shed():
+    """Guards against a target without limits, which overload tests could not saturate."""
 
     async def scenario(running, target, client):
         ids = await client.send(10, timeout_ms=60_000)
@@ -95,38 +95,38 @@
     run(scenario, timing=SLOW, capacity={"slots": 3, "queue_limit": 2})
 
 
-def test_a_deadline_ends_waiting_and_running_work():
-    """Guards against slots that stay taken by work nobody waits for."""
+def test_a_deadline_ends_queued_and_running_sub_requests():
+    """Guards against slots that expired sub-requests occupy."""
 
     async def scenario(running, target, client):
-        assert statuses(await client.ask(3, timeout_ms=50)) == ["DEADLINE"] * 3
+        assert statuses(await client.request(3, timeout_ms=50)) == ["DEADLINE"] * 3
         assert target.idle and target.counts.executed == 0
-        assert statuses(await client.ask(timeout_ms=0)) == ["DEADLINE"]
+        assert statuses(await client.request(timeout_ms=0)) == ["DEADLINE"]
 
     run(scenario, timing=SLOW, capacity={"slots": 1})
 
 
-def test_effects_are_counted_once_for_each_run():
-    """Guards against a double run that the at-most-once tests could not see."""
+def test_effects_are_counted_once_for_each_execution():
+    """Guards against a second execution that the at-most-once tests could not detect."""
 
     async def scenario(running, target, client):
-        order = {"kind": "work_order", "key": "k", "request_key": "r1"}
-        (first,) = await client.ask(**order)
-        (second,) = await client.ask(**order)
+        work_order = {"kind": "work_order", "key": "k", "request_key": "r1"}
+        (first,) = await client.request(**work_order)
+        (second,) = await client.request(**work_order)
         assert [json.loads(r.payload)["run"] for r in (first, second)] == [1, 2]
-        await client.ask()
+        await client.request()
         async with control(running) as stub:
             stats = (await stub.Stats(standin_pb2.StatsRequest())).targets[0]
             await stub.SetFault(standin_pb2.FaultRequest(shed_share=1))
-            assert statuses(await client.ask(**order)) == ["SHED"]
+            assert statuses(await client.request(**work_order)) == ["SHED"]
         assert dict(stats.effects) == {"r1": 2} and stats.executed == 3
         assert target.effects["r1"] == 2
 
     run(scenario)
 
 
-def test_a_work_order_that_was_cancelled_while_it_ran_counts():
-    """Guards against a run that is hidden because its answer was not wanted any more."""
+def test_a_work_order_cancelled_during_execution_counts_as_executed():
+    """Guards against an execution that is not counted because it was cancelled."""
 
     async def scenario(running, target, client):
         ids = await client.send(kind="work_order", key="k", request_key="r1")
@@ -139,7 +139,7 @@
 
 
 def test_a_lost_session_frees_its_slots():
-    """Guards against a target that fills up with the work of dead VMs."""
+    """Guards against slots that sub-requests of lost VMs occupy."""
 
     async def scenario(running, target, client):
         async with session(target) as other:
@@ -152,40 +152,40 @@
 
 
 def test_connections_beyond_the_limit_are_refused():
-    """Guards against a budget of connections that is broken unnoticed."""
+    """Guards against VMs that exceed the connection limit undetected."""
 
     async def scenario(running, target, client):
-        await client.ask()
+        await client.request()
         with pytest.raises(GRPCError, match="too many connections"):
             async with session(target) as other:
-                await other.ask()
+                await other.request()
         assert target.counts.peak_connections == 1
 
     run(scenario, capacity={"connections": 1})
 
 
-def test_faults_add_up_until_they_are_reset():
-    """Guards against a fault that ends another one, or that cannot be ended."""
+def test_faults_accumulate_until_they_are_reset():
+    """Guards against a fault that clears another one, or that cannot be cleared."""
 
     async def scenario(running, target, client):
         async with control(running) as stub:
             await stub.SetFault(standin_pb2.FaultRequest(fail_share=1))
             await stub.SetFault(standin_pb2.FaultRequest(latency_ms=40))
             started = asyncio.get_running_loop().time()
-            assert statuses(await client.ask()) == ["FAILED"]
+            assert statuses(await client.request()) == ["FAILED"]
             assert asyncio.get_running_loop().time() - started > 0.01
             await stub.SetFault(standin_pb2.FaultRequest(reset=True, shed_share=1))
-            assert statuses(await client.ask()) == ["SHED"]
+            assert statuses(await client.request()) == ["SHED"]
             await stub.SetFault(standin_pb2.FaultRequest(reset=True))
-            assert statuses(await client.ask()) == ["OK"]
+            assert statuses(await client.request()) == ["OK"]
             with pytest.raises(GRPCError):
                 await stub.SetFault(standin_pb2.FaultRequest(shed_share=2))
 
     run(scenario)
 
 
-def test_stragglers_take_longer_by_their_factor():
-    """Guards against measurements of stragglers that do not exist."""
+def test_stragglers_are_slower_by_their_factor():
+    """Guards against straggler measurements in which no sub-request is slow."""
 
     async def scenario(running, target, client):
         target.set_fault(standin_pb2.FaultRequest(straggler_share=0.5, straggler_factor=1000))
@@ -198,11 +198,11 @@
     run(scenario, timing={"latency_ms": 20, "sigma": 0}, capacity={"slots": 200})
 
 
-def test_a_frozen_target_answers_after_it_resumes():
+def test_a_frozen_target_replies_after_it_resumes():
     """Guards against a frozen target that still answers pings."""
 
     async def scenario(running, target, client):
-        await client.ask()
+        await client.request()
         target.set_fault(standin_pb2.FaultRequest(frozen=True))
         await client.ping(7)
         with pytest.raises(TimeoutError):
@@ -214,10 +214,10 @@
 
 
 def test_a_silent_connection_stays_silent_while_a_new_one_works():
-    """Guards against a silence that a new stream on the same connection would end."""
+    """Guards against a silent connection that replies again on a new stream."""
 
     async def scenario(running, target, client):
-        await client.ask()
+        await client.request()
         target.set_fault(standin_pb2.FaultRequest(silent_share=1))
         target.set_fault(standin_pb2.FaultRequest(reset=True))
         await client.ping(1)
@@ -230,8 +230,8 @@
     run(scenario)
 
 
-def test_a_leaving_target_refuses_new_work_and_finishes_old():
-    """Guards against a drain that cuts requests in flight."""
+def test_a_leaving_target_refuses_new_sub_requests_and_finishes_open_ones():
+    """Guards against a drain that aborts requests in flight."""
 
     async def scenario(running, target, client):
         await client.send()
