--- a/bramleycrank/observability/exposition.py
+++ b/bramleycrank/observability/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics kept in the process and served as text."""
+"""Metrics kept in memory and exposed in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     *(0.001, 0.0025, 0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15),
     *(0.2, 0.3, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0),
 )
-"""Upper bounds of the histograms, in seconds: fine around the latency objectives in use."""
+"""Upper bounds of the histogram buckets in seconds, dense around the latency objectives in use."""
 
-_UNSAFE = re.compile(r"[^a-zA-Z0-9_]")
+_INVALID_NAME_CHARS = re.compile(r"[^a-zA-Z0-9_]")
 
 
 class ExposedMetrics:
-    """Counters, gauges and latency histograms in a registry of their own.
+    """Counters, gauges and latency histograms in a separate registry.
 
     Parameters
     ----------
     prefix : str
-        First part of the names.
+        First part of the metric names.
     """
 
     def __init__(self, prefix: str) -> None:
@@ -61,11 +61,11 @@
         gauge.set(value)
 
     def close(self) -> None:
-        """Do nothing: nothing is open."""
+        """Do nothing, as there is no socket to close."""
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _name(self, name: str) -> str:
-        return f"{self._prefix}_{_UNSAFE.sub('_', name)}"
+        return f"{self._prefix}_{_INVALID_NAME_CHARS.sub('_', name)}"
--- a/bramleycrank/observability/logs.py
+++ b/bramleycrank/observability/logs.py
@@ -11,12 +11,12 @@
 
 from bramleycrank.settings import LoggingSettings
 
-# Libraries that log each request or each closed connection at the level "info".
+# Libraries that log each request or each closed connection at level INFO.
 NOISY_LOGGERS = ("grpclib", "hpack", "h2", "asyncio")
 
 
 def configure(cfg: LoggingSettings, vm_id: str, stream: TextIO | None = None) -> None:
-    """Send all log records to a stream, replacing handlers that were set before.
+    """Write all log records to a stream, replacing existing handlers.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     vm_id : str
         Name of the VM, added to each record.
     stream : TextIO, optional
-        Where to write; standard error by default.
+        Output stream; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(json_formatter(vm_id))
@@ -37,7 +37,7 @@
 
 
 def configure_stdout(cfg: LoggingSettings, vm_id: str) -> None:
-    """Send all log records to standard output without ever waiting for its reader.
+    """Write all log records to standard output without blocking on its reader.
 
     Parameters
     ----------
@@ -53,33 +53,33 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes lines to a descriptor, and counts those that it does not take at once.
+    """Writes lines to a file descriptor without blocking; drops and counts lines while it is full.
 
     Parameters
     ----------
     fd : int
-        The descriptor; it is switched to non-blocking.
+        File descriptor; it is set to non-blocking mode.
     """
 
     def __init__(self, fd: int) -> None:
         super().__init__()
         self._fd = fd
-        self._rest = b""
+        self._unsent = b""
         self.dropped = 0
         try:
             os.set_blocking(fd, False)
         except OSError as exc:
-            # Some streams cannot be switched; they are files, whose writes do not wait.
+            # Some streams have no non-blocking mode; these are files, whose writes do not block.
             sys.stderr.write(f"logs: standard output stays blocking: {exc}\n")
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record; one is dropped while the reader is behind."""
+        """Write a record, or drop it while an earlier line is not written completely."""
         try:
             line = self.format(record).encode() + b"\n"
         except Exception:
             self.handleError(record)
             return
-        if self._rest and not self._write(self._rest):
+        if self._unsent and not self._write(self._unsent):
             self.dropped += 1
             return
         if self.dropped:
@@ -88,17 +88,17 @@
         self._write(line)
 
     def _write(self, data: bytes) -> bool:
-        """Write; keep the rest of a line that went out in part. Return whether all went out."""
+        """Write data and keep the unwritten part; return whether nothing is left to write."""
         try:
             written = os.write(self._fd, data)
         except BlockingIOError:
             written = 0
         except OSError:
             self.dropped += 1
-            self._rest = b""
+            self._unsent = b""
             return True
-        self._rest = data[written:]
-        return not self._rest
+        self._unsent = data[written:]
+        return not self._unsent
 
 
 def json_formatter(vm_id: str) -> JsonFormatter:
--- a/bramleycrank/observability/metric_names.py
+++ b/bramleycrank/observability/metric_names.py
@@ -15,13 +15,13 @@
     Parameters
     ----------
     name : str
-        Name without the prefix of the settings; a part in capitals varies.
+        Name without the configured prefix; a part in capitals is a placeholder.
     kind : str
         ``counter``, ``timing`` or ``gauge``.
     unit : str
         Unit of the value.
     meaning : str
-        One sentence.
+        One-sentence description.
     """
 
     name: str
@@ -50,31 +50,35 @@
     ),
     _timing("query.latency", "Time from the receipt of a request to its answer or error."),
     _counter("query.refused.ERROR", "requests", "Requests refused by admission, by error name."),
-    _gauge("query.in_flight", "requests", "Requests that hold a place in the concurrency limit."),
-    _gauge("query.queued", "requests", "Requests that wait in the queues of all classes."),
-    _gauge("query.concurrency_limit", "requests", "Current value of the adaptive limit."),
+    _gauge("query.in_flight", "requests", "Requests that count towards the concurrency limit."),
+    _gauge("query.queued", "requests", "Requests in the queues of all priority classes."),
+    _gauge(
+        "query.concurrency_limit", "requests", "Current value of the adaptive concurrency limit."
+    ),
     _counter(
         "query.sub_requests.EVENT",
         "sub-requests",
         "`first`: first attempts sent; `hedges` and `retries`: further attempts sent; `restarts`: "
-        "queries that restarted on a newer snapshot; `shed`: replies that refused for load; "
-        "`unmatched_replies`: replies and failures that no open sub-request waited for.",
+        "queries that restarted on a newer snapshot; `shed`: sub-requests that targets shed; "
+        "`unmatched_replies`: replies and failures without an open sub-request.",
+    ),
+    _counter(
+        "query.late_replies", "sub-requests", "Replies that arrived after the answer was sent."
     ),
-    _counter("query.late_replies", "sub-requests", "Replies that came after the answer was given."),
     _counter(
         "connections.opened",
         "connections",
-        "Connections to targets that opened and were answered on.",
+        "Connections to targets that opened and received a first message.",
     ),
     _counter(
         "connections.silent",
         "connections",
-        "Connections closed as silent: a ping on them had no answer in time.",
+        "Connections closed as silent because a ping was not answered in time.",
     ),
     _counter(
         "connections.target_down",
         "changes",
-        "Times that a target was found down, because it answered on no connection.",
+        "Times that a target was marked down because it responded on no connection.",
     ),
     _counter(
         "entry.answers.STATUS",
@@ -82,13 +86,13 @@
         "Forwarded requests that were answered, by HTTP status.",
     ),
     _timing("entry.latency", "Time from the receipt of a forwarded request to its answer."),
-    _counter("entry.gone", "requests", "Requests whose caller left before the answer."),
-    _counter("entry.sub_requests", "sub-requests", "Sub-requests handed to connections."),
-    _counter("entry.holds", "holds", "Times that a target wanted no requests for a while."),
+    _counter("entry.gone", "requests", "Requests whose caller disconnected before the answer."),
+    _counter("entry.sub_requests", "sub-requests", "Sub-requests sent on connections."),
+    _counter("entry.holds", "holds", "Times that a target was held back at its own request."),
     _counter(
         "entry.sub_failures",
         "sub-requests",
-        "Sub-requests that ended without a usable answer.",
+        "Sub-requests that ended without a usable reply.",
     ),
     _counter(
         "entry.connections_opened",
@@ -98,19 +102,19 @@
     _counter(
         "traffic.calls.PURPOSE",
         "calls",
-        "Calls to other VMs and sub-requests to targets that this VM started, by purpose, and by "
-        "whether the other side is in another failure domain: `probes.near`, `pushes.far` and so "
-        "on. `connect` counts new connections to VMs.",
+        "Calls to other VMs and sub-requests to targets that this VM sent, by purpose and by "
+        "whether the other side is in another failure domain, such as `probes.near` and "
+        "`pushes.far`. `connect` counts new connections to VMs.",
     ),
     _counter(
         "traffic.bytes.PURPOSE",
         "bytes",
-        "Bytes of these calls both ways, with an estimate for framing and TCP segments.",
+        "Bytes of these calls in both directions, with an estimate for framing and TCP segments.",
     ),
     _gauge("config.revision", "revision", "Configuration revision in force."),
     _gauge("config.stale", "ms", "Age of the last confirmation by the leader; 0 while current."),
-    _gauge("membership.vms", "VMs", "VMs known as alive."),
-    _gauge("membership.targets", "targets", "Targets known as usable."),
+    _gauge("membership.vms", "VMs", "VMs in the state alive."),
+    _gauge("membership.targets", "targets", "Known targets that are usable."),
     _counter("consensus.role_changes", "changes", "Changes of the VM's role in the log."),
     _timing("consensus.propose", "Time from a proposal to its result."),
     _timing("storage.sync", "Time to write and sync records of the log."),
--- a/bramleycrank/observability/metrics.py
+++ b/bramleycrank/observability/metrics.py
@@ -1,6 +1,6 @@
 """Metrics, sent to statsd by UDP.
 
-Sending never raises and never blocks: a packet that cannot be sent at once is lost.
+Sending never raises and never blocks: a packet that cannot be sent immediately is dropped.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class _NonBlockingClient(statsd.StatsClient):
-    """A statsd client whose socket never blocks; the library drops what cannot be sent."""
+    """A statsd client with a non-blocking socket; the library drops packets that cannot be sent."""
 
     def __init__(self, host: str, port: int, prefix: str) -> None:
         super().__init__(host, port, prefix=prefix, ipv6=":" in host)
@@ -65,7 +65,7 @@
     Parameters
     ----------
     client : statsd.StatsClient
-        Client with a socket that does not block.
+        Client with a non-blocking socket.
     """
 
     def __init__(self, client: statsd.StatsClient) -> None:
@@ -73,7 +73,7 @@
 
     @classmethod
     def from_config(cls, cfg: MetricsSettings) -> StatsdMetrics:
-        """Open the socket; the server need not run."""
+        """Create a client with an open socket; the server need not be reachable."""
         return cls(_NonBlockingClient(cfg.statsd.host, cfg.statsd.port, cfg.prefix))
 
     def incr(self, name: str, count: int = 1) -> None:
@@ -96,10 +96,10 @@
         try:
             method(name, value)
         except Exception:
-            # The library lets errors of a closed socket and of unusual values through.
+            # The library does not catch errors of a closed socket or of unencodable values.
             log.debug("metrics: %s was dropped", name, exc_info=True)
 
 
 def create(cfg: MetricsSettings | None) -> Metrics:
-    """Return the receiver for the section `[metrics]`, which may be absent."""
+    """Return the receiver for the section `[metrics]`; without a section it drops all metrics."""
     return NullMetrics() if cfg is None else StatsdMetrics.from_config(cfg)
--- a/bramleycrank/observability/request_log.py
+++ b/bramleycrank/observability/request_log.py
@@ -1,46 +1,48 @@
-"""One log line for each request, within a bounded rate."""
+"""Rate-limited log lines about requests."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-FAILED_PER_S = 20.0
-"""Lines a second for requests that failed or were answered in part."""
+MAX_FAILED_LINES_PER_S = 20.0
+"""Maximum lines per second for requests that failed or had a partial answer."""
 
-SERVED_PER_S = 2.0
-"""Lines a second for requests that were answered as usual; they serve for comparison."""
+MAX_SERVED_LINES_PER_S = 2.0
+"""Maximum lines per second for complete answers, which serve for comparison."""
 
 BURST_S = 2.0
-"""Lines of so many seconds may be written at once."""
+"""Burst size, as the number of seconds of lines that may be written at once."""
 
 
-class _Allowance:
-    """Token bucket that counts what it leaves out."""
+class _LineBudget:
+    """Token bucket that counts the lines it rejects."""
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._tokens = rate * BURST_S
-        self._at = now
-        self.left_out = 0
+        self._refilled_at = now
+        self.omitted_lines = 0
 
-    def take(self, now: float) -> bool:
-        self._tokens = min(self._rate * BURST_S, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+    def try_acquire(self, now: float) -> bool:
+        self._tokens = min(
+            self._rate * BURST_S, self._tokens + (now - self._refilled_at) * self._rate
+        )
+        self._refilled_at = now
         if self._tokens < 1:
-            self.left_out += 1
+            self.omitted_lines += 1
             return False
         self._tokens -= 1
         return True
 
 
 class RequestLog:
-    """Writes a line for a request, or counts it with the next line that is written.
+    """Writes a line for a request, or counts it in the next line that is written.
 
     Parameters
     ----------
     logger : logging.Logger
-        Where the lines go.
+        Logger that receives the lines.
     clock : callable
         Monotonic time in seconds.
     """
@@ -48,37 +50,37 @@
     def __init__(self, logger: logging.Logger, clock: Callable[[], float]) -> None:
         now = clock()
         self._logger = logger
-        self._served = _Allowance(SERVED_PER_S, now)
-        self._failed = _Allowance(FAILED_PER_S, now)
+        self._served_budget = _LineBudget(MAX_SERVED_LINES_PER_S, now)
+        self._failed_budget = _LineBudget(MAX_FAILED_LINES_PER_S, now)
 
     def note(
-        self, what: str, request_id: bytes, now: float, *, failed: bool, **fields: object
+        self, event: str, request_id: bytes, now: float, *, failed: bool, **fields: object
     ) -> None:
-        """Write a line, or leave it out.
+        """Write a line, or omit it if the rate limit is reached.
 
         Parameters
         ----------
-        what : str
-            What happened.
+        event : str
+            Event that the line describes.
         request_id : bytes
             Identifier of the request.
         now : float
             Current time in seconds.
         failed : bool
-            Whether the line explains a failure.
+            Whether the request failed or had a partial answer.
         **fields : object
-            The inputs of the decision.
+            Further keys of the line, such as the inputs of a decision.
         """
-        allowance = self._failed if failed else self._served
-        if not allowance.take(now):
+        budget = self._failed_budget if failed else self._served_budget
+        if not budget.try_acquire(now):
             return
-        left_out, allowance.left_out = allowance.left_out, 0
+        omitted_lines, budget.omitted_lines = budget.omitted_lines, 0
         self._logger.info(
             "request: %s",
-            what,
+            event,
             extra={
                 "request_id": request_id.decode("latin-1"),
-                "lines_left_out": left_out,
+                "lines_left_out": omitted_lines,
                 **fields,
             },
         )
--- a/bramleycrank/observability/traffic.py
+++ b/bramleycrank/observability/traffic.py
@@ -1,4 +1,4 @@
-"""Messages and bytes by purpose, and by whether they cross a border between failure domains."""
+"""Calls and bytes by purpose, and by whether they cross a domain boundary."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from bramleycrank.observability.metrics import Metrics, NullMetrics
 
 CALL_BYTES = 230
-"""Bytes of a call between VMs beside its messages: HTTP/2 frames, headers, four TCP segments."""
+"""Overhead of a call between VMs in bytes: HTTP/2 frames, headers, four TCP segments."""
 
 CONNECT_BYTES = 600
-"""Bytes for a connection between VMs: TCP handshake, HTTP/2 settings, headers sent in full."""
+"""Bytes of a new connection between VMs: TCP handshake, HTTP/2 settings, full headers."""
 
 SEGMENT_BYTES = 4 * 40
 """Bytes of IP and TCP headers for a request and its response."""
 
 
 class Traffic:
-    """Counts calls to other VMs and targets on the side that starts them.
+    """Counts calls to other VMs and targets at the caller's side.
 
     Parameters
     ----------
@@ -33,29 +33,29 @@
         self._bytes: Counter[str] = Counter()
 
     def note_call(self, purpose: str, address: str, size: int) -> None:
-        """Count a call to another VM by its address and the bytes of both messages."""
+        """Count a call to another VM with the size of request and response in bytes."""
         self.note(purpose, self.is_remote(address), size + CALL_BYTES)
 
-    def note(self, purpose: str, far: bool, size: int, *, calls: int = 1) -> None:
+    def note(self, purpose: str, remote: bool, size: int, *, calls: int = 1) -> None:
         """Count bytes on the wire.
 
         Parameters
         ----------
         purpose : str
-            What the call is for.
-        far : bool
+            Purpose of the call.
+        remote : bool
             Whether the other side is in another failure domain.
         size : int
-            Bytes both ways.
+            Bytes in both directions.
         calls : int, optional
-            0 for a part of a call that is counted apart.
+            Number of calls; 0 adds bytes to a call that was counted before.
         """
-        name = f"{purpose}.{'far' if far else 'near'}"
+        name = f"{purpose}.{'far' if remote else 'near'}"
         self._calls[name] += calls
         self._bytes[name] += size
         self._metrics.incr(f"traffic.calls.{name}", calls)
         self._metrics.incr(f"traffic.bytes.{name}", size)
 
     def dump(self) -> dict[str, list[int]]:
-        """Return calls and bytes for each purpose, by whether they cross a border."""
+        """Return calls and bytes for each purpose, by whether they cross a domain boundary."""
         return {name: [self._calls[name], self._bytes[name]] for name in sorted(self._bytes)}
