--- a/bramleycrank/settings/__init__.py
+++ b/bramleycrank/settings/__init__.py
@@ -1,7 +1,7 @@
-"""Typed settings, read from a TOML file and checked before anything else is opened.
+"""Typed settings, read from a TOML file and validated before any other resource is opened.
 
 To add an option, declare it in the class of its section in `bramleycrank.settings.model` and run
-``scripts/pages.py`` to renew ``docs/settings.md``.
+``scripts/pages.py`` to regenerate ``docs/settings.md``.
 """
 
 from bramleycrank.settings.address import Address
--- a/bramleycrank/settings/address.py
+++ b/bramleycrank/settings/address.py
@@ -14,7 +14,7 @@
     Parameters
     ----------
     host : str
-        IPv4 or IPv6 number; names are not resolved.
+        IPv4 or IPv6 address; host names are not resolved.
     port : int
         Port, 1 to 65,535.
     """
@@ -24,7 +24,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address | None:
-        """Return the address that ``host:port`` names, or None if it is malformed."""
+        """Return the address for text of the form ``host:port``, or None if it is malformed."""
         host, separator, port = text.rpartition(":")
         if host.startswith("[") and host.endswith("]"):
             host = host[1:-1]
@@ -41,7 +41,7 @@
 
     @property
     def is_unspecified(self) -> bool:
-        """Whether the host stands for all interfaces, such as ``0.0.0.0``."""
+        """Whether the host means all interfaces, such as ``0.0.0.0``."""
         return ipaddress.ip_address(self.host).is_unspecified
 
     def __str__(self) -> str:
--- a/bramleycrank/settings/loader.py
+++ b/bramleycrank/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reading of a TOML file into attrs classes, with all problems reported at once."""
+"""Loads a TOML file into attrs classes and reports all problems at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Problems:
-    """Collects what is wrong with one settings file.
+    """Collects the problems of one settings file.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
 
     def add(self, key: str, found: object, allowed: str) -> None:
         """Add a problem of one key."""
-        self.lines.append(f"{self.source}: {key}: found {_shown(found)}; allowed: {allowed}")
+        self.lines.append(f"{self.source}: {key}: found {_format_value(found)}; allowed: {allowed}")
 
     def add_unknown(self, key: str, known: list[str]) -> None:
         """Add a key that no class declares."""
@@ -42,8 +42,8 @@
         self.lines.append(f"{self.source}: {key}: found nothing; allowed: {allowed}")
 
 
-def _shown(value: object) -> str:
-    """Return a value as it appears in messages, cut to a readable length."""
+def _format_value(value: object) -> str:
+    """Return a value as shown in messages, truncated to 80 characters."""
     text = {True: "true", False: "false"}.get(value) if isinstance(value, bool) else repr(value)
     return text if len(text) <= 80 else f"{text[:77]}..."
 
@@ -85,11 +85,11 @@
     """
     problems = Problems(source)
     fields = {field.name: field for field in attrs.fields(cls)}
-    _report_unknown(data, fields, "", problems)
+    _add_unknown_keys(data, fields, "", problems)
     values = {name: _load_section(field, data, problems) for name, field in fields.items()}
-    complete = {name: value for name, value in values.items() if value is not INVALID}
+    valid_values = {name: value for name, value in values.items() if value is not INVALID}
     if not problems.lines:
-        settings = cls(**complete)
+        settings = cls(**valid_values)
         settings.check(problems)  # type: ignore[attr-defined]
         if not problems.lines:
             return settings
@@ -110,25 +110,25 @@
 def load_options(cls: type, content: Mapping[str, Any], prefix: str, problems: Problems) -> Any:
     """Return an instance of a section class, or ``INVALID`` after adding the problems."""
     fields = {field.name: field for field in attrs.fields(cls)}
-    before = len(problems.lines)
-    _report_unknown(content, fields, f"{prefix}.", problems)
+    problem_count = len(problems.lines)
+    _add_unknown_keys(content, fields, f"{prefix}.", problems)
     values = {}
     for name, field in fields.items():
         option: Option = field.metadata["option"]
         if name in content:
             values[name] = option.kind.parse(content[name])
             if values[name] is INVALID:
-                problems.add(f"{prefix}.{name}", content[name], _allowed(option))
+                problems.add(f"{prefix}.{name}", content[name], _format_allowed(option))
         elif field.default is attrs.NOTHING:
-            problems.add_missing(f"{prefix}.{name}", _allowed(option))
-    return cls(**values) if len(problems.lines) == before else INVALID
+            problems.add_missing(f"{prefix}.{name}", _format_allowed(option))
+    return cls(**values) if len(problems.lines) == problem_count else INVALID
 
 
-def _allowed(option: Option) -> str:
+def _format_allowed(option: Option) -> str:
     return f"{option.kind.allowed} ({option.unit})" if option.unit else option.kind.allowed
 
 
-def _report_unknown(
+def _add_unknown_keys(
     content: Mapping[str, Any], fields: Mapping[str, Any], prefix: str, problems: Problems
 ) -> None:
     """Add a problem for each key that no field declares."""
--- a/bramleycrank/settings/model.py
+++ b/bramleycrank/settings/model.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class VmSettings:
-    """Identity and place of the VM."""
+    """Identity and location of the VM."""
 
     id: str = option(Name(), meaning="Name of the VM, unique in the system.")
     domain: str = option(Name(), meaning="Failure domain of the VM.")
@@ -48,13 +48,13 @@
     grpc: Address = option(
         HostPort(),
         default=Address("127.0.0.1", 7070),
-        meaning="Address for other VMs, targets and operators; other VMs learn it as it stands.",
+        meaning="Address for other VMs, targets and operators; it is sent to other VMs unchanged.",
     )
 
 
 @attrs.frozen(kw_only=True)
 class PeersSettings:
-    """First contacts among the other VMs."""
+    """VMs that a starting VM contacts first."""
 
     seeds: tuple[Address, ...] = option(
         ListOf(HostPort(), maximum=1000),
@@ -95,13 +95,13 @@
         Integer(1, 100_000),
         default=32,
         unit="requests",
-        meaning="Requests in flight at the start, before the limit adapts.",
+        meaning="Initial value of the adaptive limit on requests in flight.",
     )
     max_concurrency: int = option(
         Integer(1, 100_000),
         default=1024,
         unit="requests",
-        meaning="Highest value that the adaptive limit may take.",
+        meaning="Maximum of the adaptive limit.",
     )
     hedge_quantile: float = option(
         Number(0.5, 0.999),
@@ -125,7 +125,7 @@
         Number(0, 3600),
         default=10.0,
         unit="s",
-        meaning="Time in which the share of a new target grows to its full size.",
+        meaning="Time in which the load share of a new target grows to its full size.",
     )
 
 
@@ -140,7 +140,7 @@
         Number(0.2, 600),
         default=6.0,
         unit="s",
-        meaning="Time after which a target that does not renew is marked as expired.",
+        meaning="Time without a renewal after which a target is marked as expired.",
     )
     renew_s: float = option(
         Number(0.1, 300), default=2.0, unit="s", meaning="Time between two renewals of a target."
@@ -161,7 +161,7 @@
         Number(0.5, 600),
         default=6.0,
         unit="s",
-        meaning="Time after the leader's last confirmation in which the VM counts as current.",
+        meaning="Time after the leader's last confirmation in which a VM counts as current.",
     )
     start_wait_s: float = option(
         Number(0, 600),
@@ -188,13 +188,13 @@
         Number(0.1, 10_000),
         default=10.0,
         unit="connections/s",
-        meaning="Rate at which the VM may open connections again.",
+        meaning="Maximum rate at which the VM reopens connections.",
     )
     reconnect_burst: int = option(
         Integer(1, 100_000),
         default=20,
         unit="connections",
-        meaning="Connections that the VM may open again at once.",
+        meaning="Connections that the VM may reopen at once.",
     )
 
 
@@ -206,7 +206,7 @@
         Number(0, 600),
         default=2.0,
         unit="s",
-        meaning="Time in which a draining VM still accepts requests while `readyz` fails.",
+        meaning="Time that a draining VM still accepts requests while `readyz` fails.",
     )
     drain_limit_s: float = option(
         Number(0, 3600),
@@ -239,9 +239,9 @@
 class Settings:
     """All settings of a VM."""
 
-    vm: VmSettings = section(VmSettings, required=True, meaning="Identity and place of the VM.")
+    vm: VmSettings = section(VmSettings, required=True, meaning="Identity and location of the VM.")
     listen: ListenSettings = section(ListenSettings, meaning="Addresses to listen on.")
-    peers: PeersSettings = section(PeersSettings, meaning="First contacts among other VMs.")
+    peers: PeersSettings = section(PeersSettings, meaning="VMs that a starting VM contacts first.")
     storage: StorageSettings | None = section(
         StorageSettings, optional=True, meaning="Data folder, for VMs that keep state on disk."
     )
@@ -261,7 +261,7 @@
 
     @classmethod
     def load(cls, path: str | Path) -> Settings:
-        """Read and check a TOML file; nothing is opened besides it.
+        """Read and check a TOML file without opening anything else.
 
         Raises
         ------
@@ -280,11 +280,11 @@
             With one line for each problem.
         """
         settings = loader.load(cls, data, source)
-        others = tuple(seed for seed in settings.peers.seeds if seed != settings.listen.grpc)
-        return attrs.evolve(settings, peers=PeersSettings(seeds=others))
+        other_seeds = tuple(seed for seed in settings.peers.seeds if seed != settings.listen.grpc)
+        return attrs.evolve(settings, peers=PeersSettings(seeds=other_seeds))
 
     def check(self, problems: loader.Problems) -> None:
-        """Report combinations of values that cannot work together."""
+        """Report values that are invalid in combination."""
         if self.listen.http == self.listen.grpc:
             problems.add(
                 "listen.http", str(self.listen.http), "an address other than that of listen.grpc"
@@ -300,7 +300,7 @@
                 f"at most query.max_concurrency ({self.query.max_concurrency})",
             )
         if self.membership.renew_s * 2 > self.membership.lease_s:
-            # One lost renewal must not end the lease.
+            # The lease must survive one lost renewal.
             problems.add(
                 "membership.renew_s",
                 self.membership.renew_s,
--- a/bramleycrank/settings/options.py
+++ b/bramleycrank/settings/options.py
@@ -15,7 +15,7 @@
 
 
 class Invalid(enum.Enum):
-    """Marks a value that an option does not allow."""
+    """Marker for a value that an option does not allow."""
 
     INVALID = "invalid"
 
@@ -24,7 +24,7 @@
 
 
 class Kind(Protocol):
-    """What values an option takes."""
+    """Type and allowed range of an option's values."""
 
     @property
     def allowed(self) -> str:
@@ -92,18 +92,18 @@
 
 @attrs.frozen
 class Choice:
-    """One of a few words."""
+    """One of a fixed set of words."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return "one of " + ", ".join(self.words)
+        return "one of " + ", ".join(self.choices)
 
     def parse(self, value: object) -> Any:
         """Return the word, or ``INVALID``."""
-        return value if isinstance(value, str) and value in self.words else INVALID
+        return value if isinstance(value, str) and value in self.choices else INVALID
 
 
 @attrs.frozen
@@ -128,7 +128,7 @@
 
 @attrs.frozen
 class Folder:
-    """A path of a folder, relative paths counted from the working folder."""
+    """A folder path; relative paths start at the working directory."""
 
     @property
     def allowed(self) -> str:
@@ -202,7 +202,7 @@
     Parameters
     ----------
     kind : Kind
-        Allowed values.
+        Type and allowed values.
     unit : str
         Unit of the value, empty if it has none.
     meaning : str
