--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from log files."""
+"""Tests of the command `explain` and of the log output that it reads."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from bramleycrank.cli.main import run
 from bramleycrank.observability.logs import NonBlockingHandler
-from bramleycrank.observability.request_log import FAILED_PER_S, RequestLog
+from bramleycrank.observability.request_log import MAX_FAILED_LINES_PER_S, RequestLog
 
 
-def write(path, *lines):
+def write_lines(path, *lines):
     path.write_text("\n".join(x if isinstance(x, str) else json.dumps(x) for x in lines) + "\n")
     return str(path)
 
 
-def line(second: int, vm: str, message: str, **fields: object) -> dict:
+def log_line(second: int, vm: str, message: str, **fields: object) -> dict:
     return {"time": f"2026-12-04T00:00:{second:02}", "vm": vm, "message": message, **fields}
 
 
-def test_the_lines_of_a_request_are_told_in_order_of_time(tmp_path, capsys):
-    one = write(
+def test_lines_of_a_request_are_printed_in_order_of_time(tmp_path, capsys):
+    one = write_lines(
         tmp_path / "one",
-        line(9, "vm1", "request: merged", request_id="r7", missing=1),
+        log_line(9, "vm1", "request: merged", request_id="r7", missing=1),
         "no JSON r7",
     )
-    two = write(
+    two = write_lines(
         tmp_path / "two",
-        line(8, "vm2", "request: sub-request lost", request_id="r7", status=502),
-        line(8, "vm2", "request: merged", request_id="r8"),
+        log_line(8, "vm2", "request: sub-request lost", request_id="r7", status=502),
+        log_line(8, "vm2", "request: merged", request_id="r8"),
     )
     assert run(["explain", "r7", f"{one},{two}"]) == 0
     first, second = capsys.readouterr().out.strip().splitlines()
@@ -41,14 +41,14 @@
 
 
 def test_an_unknown_request_and_a_missing_file_are_errors(tmp_path, capsys):
-    one = write(tmp_path / "one", line(1, "vm1", "request: merged", request_id="r7"))
+    one = write_lines(tmp_path / "one", log_line(1, "vm1", "request: merged", request_id="r7"))
     assert run(["explain", "r9", one]) == 7
     assert run(["explain", "r7", str(tmp_path / "absent")]) == 2
     assert "NotFound" in capsys.readouterr().err
 
 
-def test_a_reader_that_does_not_read_holds_nothing_up():
-    """Guards against a process that waits for the reader of its standard output."""
+def test_a_stalled_log_reader_does_not_block_the_process():
+    """Guards against a process that blocks on the reader of its standard output."""
     reading, writing = os.pipe()
     handler = NonBlockingHandler(writing)
     record = logging.LogRecord("part", logging.INFO, "", 0, "x" * 200, (), None)
@@ -57,7 +57,7 @@
         handler.emit(record)
     assert time.monotonic() - started < 2.0
     assert handler.dropped > 0
-    received = os.read(reading, 1 << 20)  # all that the pipe holds
+    received = os.read(reading, 1 << 20)  # empties the pipe
     handler.emit(record)
     received += os.read(reading, 1 << 20)
     assert b"lines were dropped" in received
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize("failed", [True, False])
-def test_lines_of_requests_are_bounded_and_those_left_out_are_counted(failed):
-    """Load pattern: twice the usual load, all of it failing."""
+def test_request_lines_are_rate_limited_and_omitted_lines_are_counted(failed):
+    """Load pattern: 200 requests/s for 10 s, twice the usual load, all failed or all served."""
     written = []
 
     class Logger:
-        def info(self, message, what, extra):
+        def info(self, message, event, extra):
             written.append(extra)
 
     clock = [0.0]
@@ -80,5 +80,5 @@
     for number in range(2000):
         clock[0] = number / 200
         log.note("timeout", b"r", clock[0], failed=failed)
-    assert len(written) <= FAILED_PER_S * 12
+    assert len(written) <= MAX_FAILED_LINES_PER_S * 12
     assert sum(item["lines_left_out"] for item in written) + len(written) > 1800
--- a/tests/test_observability_metrics.py
+++ b/tests/test_observability_metrics.py
@@ -26,14 +26,14 @@
         yield sock
 
 
-def sender(server):
+def create_client(server):
     host, port = server.getsockname()
     return metrics.create(MetricsSettings(statsd=Address(host, port), prefix="p"))
 
 
-def test_values_reach_the_server_in_its_units(server):
-    """Guards against seconds that are sent where statsd takes milliseconds."""
-    client = sender(server)
+def test_values_are_sent_in_the_units_of_statsd(server):
+    """Guards against seconds where statsd expects milliseconds."""
+    client = create_client(server)
     client.incr("a", 3)
     client.timing("b", 0.25)
     client.gauge("c", 7)
@@ -41,8 +41,8 @@
 
 
 def test_sending_never_raises(server):
-    """Guards against a query that fails because of its metrics."""
-    client = sender(server)
+    """Guards against a query that fails because a metric cannot be sent."""
+    client = create_client(server)
     client.incr("name\udcff")
     client.close()
     client.incr("a")
@@ -51,13 +51,13 @@
 
 
 def test_the_socket_does_not_block(server):
-    """Guards against a loop that waits for the send buffer of the metrics socket."""
-    client = sender(server)
+    """Guards against an event loop that blocks on a full send buffer of the metrics socket."""
+    client = create_client(server)
     assert client._client._sock.getblocking() is False
 
 
 def sent_names():
-    """Yield the metric names in the code; a part that varies becomes VARIES."""
+    """Yield method and metric name of each call in the code; placeholders become VARIES."""
     for path in SOURCES:
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
@@ -75,8 +75,8 @@
                 raise AssertionError(f"{path}: {ast.unparse(node)}: the name must be a literal")
 
 
-def test_listed_and_sent_metrics_are_the_same():
-    """Guards against a metric without unit and meaning, and a listed one that is never sent."""
+def test_sent_metrics_are_those_listed():
+    """Guards against an undocumented metric, and a documented one that is never sent."""
     kinds = {"incr": "counter", "timing": "timing", "gauge": "gauge"}
     sent = {(kinds[method], name) for method, name in sent_names()}
     listed = {(m.kind, re.sub(r"[A-Z]{2,}", "VARIES", m.name)) for m in METRICS}
@@ -84,10 +84,10 @@
 
 
 def test_log_lines_are_json_with_the_name_of_the_vm(monkeypatch):
-    """Guards against lines that a log collector cannot read."""
+    """Guards against lines that a log collector cannot parse."""
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", [])
-    before = root.level
+    previous_level = root.level
     stream = io.StringIO()
     try:
         logs.configure(LoggingSettings(level="warning"), "vm7", stream)
@@ -95,7 +95,7 @@
         logging.getLogger("part").warning("part: %d lost", 3)
         assert logging.getLogger("hpack").level == logging.WARNING
     finally:
-        root.setLevel(before)
+        root.setLevel(previous_level)
     record = json.loads(stream.getvalue())
     assert record.pop("time").endswith("+00:00")
     assert record == {
--- a/tests/test_settings_model.py
+++ b/tests/test_settings_model.py
@@ -33,26 +33,26 @@
 
 
 def problems_of(data):
-    with pytest.raises(InvalidSettings) as caught:
+    with pytest.raises(InvalidSettings) as exc_info:
         Settings.from_dict(data, source="f.toml")
-    return caught.value.problems
+    return exc_info.value.problems
 
 
-def test_a_file_gives_typed_values(tmp_path):
-    """Guards against fields that other modules read under another name or type."""
+def test_a_file_is_loaded_into_typed_values(tmp_path):
+    """Guards against options that are stored under another name or type."""
     path = tmp_path / "vm.toml"
     path.write_text(EXAMPLE)
     cfg = Settings.load(path)
     assert (cfg.vm.id, cfg.vm.domain, cfg.vm.region) == ("vm1", "catania", "")
     assert (cfg.listen.http.host, cfg.listen.http.port) == ("127.0.0.1", 8081)
-    assert cfg.peers.seeds == (Address("127.0.0.1", 7072),)  # its own address is dropped
+    assert cfg.peers.seeds == (Address("127.0.0.1", 7072),)  # without the VM's own address
     assert cfg.storage.vote is False and cfg.storage.data_dir.name == "data"
     assert cfg.query.policy == "plain" and cfg.query.hedge_quantile == 0.96
     assert cfg.metrics.statsd.port == 8125
 
 
 def test_optional_sections_are_none():
-    """Guards against a data folder or a metrics socket that nobody asked for."""
+    """Guards against a data folder or a metrics socket that is not configured."""
     cfg = Settings.from_dict({"vm": VM})
     assert cfg.storage is None and cfg.metrics is None
 
@@ -66,13 +66,13 @@
     path = tmp_path / "vm.toml"
     if text is not None:
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
-    with pytest.raises(InvalidSettings, match=expected) as caught:
+    with pytest.raises(InvalidSettings, match=expected) as exc_info:
         Settings.load(path)
-    assert str(path) in caught.value.problems[0] and caught.value.exit_code == 2
+    assert str(path) in exc_info.value.problems[0] and exc_info.value.exit_code == 2
 
 
 def test_all_problems_are_reported_at_once():
-    """Guards against one start attempt for each problem."""
+    """Guards against a loader that reports only the first problem."""
     problems = problems_of(
         {
             "vm": {"id": "a/b", "domian": "x"},
@@ -108,8 +108,8 @@
         ({"membership": {"renew_s": 4.0}}, "membership.renew_s"),
     ],
 )
-def test_impossible_combinations_are_refused(data, key):
-    """Guards against values that are fine alone and cannot work together."""
+def test_invalid_combinations_are_rejected(data, key):
+    """Guards against values that are valid alone but not in combination."""
     assert [line.split(": ")[1] for line in problems_of({"vm": VM, **data})] == [key]
 
 
@@ -117,14 +117,14 @@
     "text",
     ["", "127.0.0.1", "localhost:80", "127.0.0.1:0", "127.0.0.1:65536", "::1:80", "1.2.3.4:+8"],
 )
-def test_malformed_addresses_are_refused(text):
-    """Guards against names, which processes must not resolve, and impossible ports."""
+def test_malformed_addresses_are_rejected(text):
+    """Guards against host names, which must not be resolved, and ports out of range."""
     assert Address.parse(text) is None
 
 
 @given(st.ip_addresses(), st.integers(1, 65_535))
-def test_an_address_survives_its_text_form(host, port):
-    """Guards against IPv6 numbers that cannot be read back."""
+def test_an_address_is_parsed_from_its_text_form(host, port):
+    """Guards against IPv6 addresses that cannot be parsed again."""
     address = Address(str(host), port)
     assert Address.parse(str(address)) == address
 
@@ -138,8 +138,8 @@
 
 
 @given(st.sampled_from(numeric), st.one_of(st.integers(), st.floats()))
-def test_a_number_is_taken_exactly_within_its_range(option, value):
-    """Guards against infinite, fractional or out-of-range numbers that pass."""
+def test_a_number_is_accepted_only_within_its_range(option, value):
+    """Guards against infinite, fractional or out-of-range numbers that are accepted."""
     section, name, kind = option
     whole = isinstance(value, int) or isinstance(kind, Number)
     allowed = whole and kind.minimum <= value <= kind.maximum
@@ -163,8 +163,8 @@
 
 
 @given(st.dictionaries(names, json_values, max_size=4))
-def test_any_content_gives_settings_or_a_typed_error(data):
-    """Guards against crashes of the loader on content of an unexpected form."""
+def test_any_content_is_loaded_or_raises_a_typed_error(data):
+    """Guards against untyped exceptions on content of an unexpected form."""
     try:
         Settings.from_dict(data)
     except InvalidSettings as exc:
