--- a/bramleycrank/cli/arguments.py
+++ b/bramleycrank/cli/arguments.py
@@ -1,4 +1,4 @@
-"""Conversion of command-line arguments by the annotations of a command."""
+"""Converts command-line arguments by the annotations of a command."""
 
 from __future__ import annotations
 
@@ -26,74 +26,78 @@
         bound = signature.bind(*args, **kwargs)
         for name, value in bound.arguments.items():
             if name != "self":
-                bound.arguments[name] = _convert(name, value, _plain(hints[name]))
+                bound.arguments[name] = _convert(name, value, _strip_none(hints[name]))
         return method(*bound.args, **bound.kwargs)
 
     return wrapper
 
 
-def quoted(argv: Sequence[str], root: object) -> list[str]:
-    """Return the arguments with all values of the command as Python string literals.
+def quote_values(argv: Sequence[str], root: object) -> list[str]:
+    """Return the arguments with all values as Python string literals.
 
     `fire` reads values as Python literals, which would turn a key such as ``1e3`` into ``1000.0``.
-    The words that name the command, flags and what follows ``--`` stay as they are.
+    Command names, flags and everything after ``--`` stay unchanged.
 
     Parameters
     ----------
     argv : sequence of str
-        Arguments.
+        Command-line arguments.
     root : object
-        Object whose members are the groups and commands.
+        Object whose members are the command groups and commands.
     """
-    result, place, plain = [], root, False
-    for word in argv:
-        plain = plain or word == "--"
-        member = getattr(place, word.replace("-", "_"), None) if not callable(place) else None
-        if plain:
-            result.append(word)
+    quoted, member_owner, after_separator = [], root, False
+    for arg in argv:
+        after_separator = after_separator or arg == "--"
+        member = (
+            getattr(member_owner, arg.replace("-", "_"), None)
+            if not callable(member_owner)
+            else None
+        )
+        if after_separator:
+            quoted.append(arg)
         elif member is not None:
-            place = member
-            result.append(word)
-        elif word.startswith("-"):
-            flag, equals, value = word.partition("=")
-            result.append(f"{flag}={value!r}" if equals else flag)
+            member_owner = member
+            quoted.append(arg)
+        elif arg.startswith("-"):
+            flag, equals, value = arg.partition("=")
+            quoted.append(f"{flag}={value!r}" if equals else flag)
         else:
-            result.append(repr(word))
-    return result
+            quoted.append(repr(arg))
+    return quoted
 
 
-def _plain(hint: Any) -> type:
-    """Return the type of an annotation without None."""
+def _strip_none(hint: Any) -> type:
+    """Return the type of an optional annotation."""
     if isinstance(hint, types.UnionType):
         return next(part for part in typing.get_args(hint) if part is not type(None))
     return hint
 
 
-def _convert(name: str, value: Any, wanted: type) -> Any:
+def _convert(name: str, value: Any, expected_type: type) -> Any:
     option = name.replace("_", "-")
-    if value is True and wanted is not bool:
-        raise invalid(f"{option}: needs a value")
-    if not isinstance(value, str) or wanted is str:
+    if value is True and expected_type is not bool:
+        raise invalid_argument(f"{option}: needs a value")
+    if not isinstance(value, str) or expected_type is str:
         return value
-    if wanted is bool:
+    if expected_type is bool:
         if value.lower() not in ("true", "false"):
-            raise invalid(f"{option}: found {value!r}; allowed: true or false")
+            raise invalid_argument(f"{option}: found {value!r}; allowed: true or false")
         return value.lower() == "true"
     try:
-        number = wanted(value)
+        number = expected_type(value)
     except ValueError:
         number = -1
     if not 0 <= number < 2**63 or math.isnan(number):
-        noun = "a whole number" if wanted is int else "a number"
-        raise invalid(f"{option}: found {value!r}; allowed: {noun}, not negative")
+        allowed = "a whole number" if expected_type is int else "a number"
+        raise invalid_argument(f"{option}: found {value!r}; allowed: {allowed}, not negative")
     return number
 
 
-def words(value: str | None) -> list[str]:
-    """Return the parts of a comma-separated option."""
+def split_commas(value: str | None) -> list[str]:
+    """Return the non-empty items of a comma-separated option."""
     return [part.strip() for part in (value or "").split(",") if part.strip()]
 
 
-def invalid(message: str) -> InvalidRequest:
-    """Return the error for an argument that cannot be used."""
+def invalid_argument(message: str) -> InvalidRequest:
+    """Return the error for an invalid argument."""
     return InvalidRequest(message, outcome=Outcome.NOT_RUN)
--- a/bramleycrank/cli/check_settings.py
+++ b/bramleycrank/cli/check_settings.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from bramleycrank.cli.context import Context, Pending
+from bramleycrank.cli.context import Context, DeferredCommand
 from bramleycrank.settings import Settings
 from bramleycrank.standin.settings import StandInSettings
 
 
-def check_settings(context: Context, path: str, standin: bool) -> Pending:
+def check_settings(context: Context, path: str, standin: bool) -> DeferredCommand:
     """Return the command that checks a file; it raises `InvalidSettings` with all problems.
 
     Parameters
     ----------
     context : Context
-        Output form.
+        Output format.
     path : str
         TOML file.
     standin : bool
@@ -24,4 +24,4 @@
         (StandInSettings if standin else Settings).load(path)
         context.show({"result": "ok", "file": path}, f"{path}: ok")
 
-    return Pending(run)
+    return DeferredCommand(run)
--- a/bramleycrank/cli/context.py
+++ b/bramleycrank/cli/context.py
@@ -1,4 +1,4 @@
-"""What all commands share: the server, the output form and remote calls."""
+"""Common parts of all commands: server address, output format and remote calls."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import attrs
 from grpclib.client import Channel
 
-from bramleycrank.cli.arguments import invalid
+from bramleycrank.cli.arguments import invalid_argument
 from bramleycrank.cli.output import print_result
 from bramleycrank.proto.operator_grpc import OperatorStub
 from bramleycrank.settings import Address
@@ -20,21 +20,21 @@
 DEFAULT_SERVER = "127.0.0.1:7070"
 DEFAULT_HTTP = "127.0.0.1:8080"
 CALL_TIMEOUT_S = 10.0
-# A call must outlast the time that the server itself allows for it.
+# Added to a call's timeout, so that the server's own timeout expires first.
 TIMEOUT_MARGIN_S = 2.0
 
 
 @attrs.define
-class Pending:
-    """A command whose arguments have been read.
+class DeferredCommand:
+    """A command whose arguments are parsed, to be run later.
 
-    `fire` notices surplus arguments only after it has called a command, so commands return this
-    object and the entry point runs it once all arguments have been accepted.
+    `fire` detects surplus arguments only after it has called a command, so commands return this
+    object and the entry point runs it once all arguments are accepted.
 
     Parameters
     ----------
     action : callable
-        Coroutine function that does the work.
+        Coroutine function that runs the command.
     """
 
     _action: Callable[[], Awaitable[None]]
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class Context:
-    """Options that apply to all commands.
+    """Options of all commands.
 
     Parameters
     ----------
@@ -66,8 +66,8 @@
 
     @asynccontextmanager
     async def operator(self) -> AsyncIterator[OperatorClient]:
-        """Connect to the operators' service of the server."""
-        async with channel(self.server, "--server") as conn:
+        """Connect to the operator service of the server."""
+        async with open_channel(self.server, "--server") as conn:
             yield OperatorClient(OperatorStub(conn))
 
     def show(self, data: Mapping[str, Any], text: str) -> None:
@@ -76,19 +76,19 @@
 
 
 class OperatorClient:
-    """Calls of the operators' service that raise typed errors.
+    """Client of the operator service that raises typed errors.
 
     Parameters
     ----------
     stub : OperatorStub
-        The generated stub.
+        Generated gRPC stub.
     """
 
     def __init__(self, stub: OperatorStub) -> None:
         self._stub = stub
 
     async def call(self, method: str, request: Any, timeout_s: float = CALL_TIMEOUT_S) -> Any:
-        """Make one call.
+        """Call a method of the service.
 
         Raises
         ------
@@ -99,8 +99,8 @@
 
 
 @asynccontextmanager
-async def channel(text: str, option: str) -> AsyncIterator[Channel]:
-    """Open a channel to an address that an option names."""
+async def open_channel(text: str, option: str) -> AsyncIterator[Channel]:
+    """Open a channel to the address given by an option."""
     address = parse_address(text, option)
     conn = Channel(address.host, address.port)
     try:
@@ -110,7 +110,7 @@
 
 
 def parse_address(text: str, option: str) -> Address:
-    """Return an address.
+    """Return the address given by an option.
 
     Raises
     ------
@@ -119,20 +119,20 @@
     """
     address = Address.parse(text)
     if address is None:
-        raise invalid(
+        raise invalid_argument(
             f"{option}: {text!r} is not an IP number and a port, such as {DEFAULT_SERVER}"
         )
     return address
 
 
-def new_change_id(given: str) -> str:
-    """Return the change id to use and show it before the change is sent.
+def new_change_id(earlier_id: str) -> str:
+    """Return a change id and print it, so that the change can be resent after a failure.
 
     Parameters
     ----------
-    given : str
+    earlier_id : str
         Id of an earlier attempt to resend, or empty.
     """
-    change_id = given or uuid.uuid4().hex
+    change_id = earlier_id or uuid.uuid4().hex
     print(f"change id: {change_id}", file=sys.stderr, flush=True)
     return change_id
--- a/bramleycrank/cli/dump.py
+++ b/bramleycrank/cli/dump.py
@@ -4,17 +4,17 @@
 
 import json
 
-from bramleycrank.cli.context import Context, Pending
+from bramleycrank.cli.context import Context, DeferredCommand
 from bramleycrank.proto import operator_pb2 as pb
 
 
-def dump(context: Context, vm_id: str) -> Pending:
+def dump(context: Context, vm_id: str) -> DeferredCommand:
     """Return the command that prints the state of a VM as JSON.
 
     Parameters
     ----------
     context : Context
-        Server and output form.
+        Server and output format.
     vm_id : str
         Name of the VM; empty: the server.
     """
@@ -24,4 +24,4 @@
             reply = await client.call("Dump", pb.DumpRequest(vm_id=vm_id))
         print(json.dumps(json.loads(reply.json), indent=2, sort_keys=True))
 
-    return Pending(run)
+    return DeferredCommand(run)
--- a/bramleycrank/cli/errors.py
+++ b/bramleycrank/cli/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bramleycrank.cli.context import Context, Pending
+from bramleycrank.cli.context import Context, DeferredCommand
 from bramleycrank.cli.output import table
 from bramleycrank.exceptions import BramleycrankError, InternalError, error_types
 
@@ -16,7 +16,7 @@
     )
 
 
-def errors(context: Context) -> Pending:
+def errors(context: Context) -> DeferredCommand:
     """Return the command that lists the error codes."""
 
     async def run() -> None:
@@ -25,4 +25,4 @@
         data = {"errors": [dict(zip(keys, row, strict=True)) for row in rows()]}
         context.show(data, table(headers, rows()))
 
-    return Pending(run)
+    return DeferredCommand(run)
--- a/bramleycrank/cli/main.py
+++ b/bramleycrank/cli/main.py
@@ -11,9 +11,9 @@
 import fire
 
 from bramleycrank.cli import check_settings, dump, errors, explain
-from bramleycrank.cli.arguments import command, invalid, quoted
+from bramleycrank.cli.arguments import command, invalid_argument, quote_values
 from bramleycrank.cli.config import ConfigCommands
-from bramleycrank.cli.context import DEFAULT_HTTP, DEFAULT_SERVER, Context, Pending
+from bramleycrank.cli.context import DEFAULT_HTTP, DEFAULT_SERVER, Context, DeferredCommand
 from bramleycrank.cli.query import QueryCommands
 from bramleycrank.cli.service import ServiceCommands
 from bramleycrank.cli.standin import StandInCommands
@@ -25,10 +25,10 @@
 class Commands:
     """Command-line tool of bramleycrank.
 
-    These options go with any command: `--server host:port`, the gRPC address of a VM
+    These options apply to all commands: `--server host:port`, the gRPC address of a VM
     (BRAMLEYCRANK_SERVER, 127.0.0.1:7070 by default); `--http host:port`, its HTTP address for
     `query` (BRAMLEYCRANK_HTTP, 127.0.0.1:8080 by default); `--json`, results as JSON.
-    The exit code tells the class of an error; `bramleycrank errors` lists them.
+    The exit code shows the class of an error; `bramleycrank errors` lists all errors.
     """
 
     def __init__(self, context: Context) -> None:
@@ -41,7 +41,7 @@
         self.query = QueryCommands(context)
 
     @command
-    def dump(self, vm_id: str = "") -> Pending:
+    def dump(self, vm_id: str = "") -> DeferredCommand:
         """Print the state of a VM as JSON.
 
         Parameters
@@ -52,7 +52,7 @@
         return dump.dump(self._context, vm_id)
 
     @command
-    def check_settings(self, path: str, standin: bool = False) -> Pending:
+    def check_settings(self, path: str, standin: bool = False) -> DeferredCommand:
         """Check a settings file and report all problems.
 
         Parameters
@@ -65,26 +65,26 @@
         return check_settings.check_settings(self._context, path, standin)
 
     @command
-    def explain(self, request_id: str, files: str) -> Pending:
-        """Print what the log files say of a request, in the order of time.
+    def explain(self, request_id: str, files: str) -> DeferredCommand:
+        """Print the log lines of a request in order of time.
 
         Parameters
         ----------
         request_id : str
-            Identifier of the request; that of a target or a VM serves too.
+            Identifier of the request, or of a target or VM.
         files : str
-            Log files, joined by commas.
+            Log files, separated by commas.
         """
         return explain.explain(self._context, request_id, files.split(","))
 
     @command
-    def errors(self) -> Pending:
+    def errors(self) -> DeferredCommand:
         """List all error codes."""
         return errors.errors(self._context)
 
 
 def read_context(argv: Sequence[str]) -> tuple[Context, list[str]]:
-    """Split the options of all commands from the arguments.
+    """Separate the global options from the arguments of the command.
 
     Raises
     ------
@@ -95,34 +95,34 @@
         "--server": os.environ.get("BRAMLEYCRANK_SERVER") or DEFAULT_SERVER,
         "--http": os.environ.get("BRAMLEYCRANK_HTTP") or DEFAULT_HTTP,
     }
-    as_json, rest = False, []
-    words = iter(argv)
-    for word in words:
-        name, equals, value = word.partition("=")
-        if word == "--json":
+    as_json, remaining = False, []
+    args = iter(argv)
+    for arg in args:
+        name, separator, value = arg.partition("=")
+        if arg == "--json":
             as_json = True
         elif name in values:
-            values[name] = value if equals else next(words, "")
+            values[name] = value if separator else next(args, "")
             if not values[name]:
-                raise invalid(f"{name} needs a value host:port")
+                raise invalid_argument(f"{name} needs a value host:port")
         else:
-            rest.append(word)
-    return Context(values["--server"], values["--http"], as_json), rest
+            remaining.append(arg)
+    return Context(values["--server"], values["--http"], as_json), remaining
 
 
 def run(argv: Sequence[str]) -> int:
     """Run one command and return its exit code."""
     as_json = "--json" in argv
     try:
-        context, rest = read_context(argv)
+        context, remaining = read_context(argv)
         commands = Commands(context)
         result = fire.Fire(
             commands,
-            command=quoted(rest, commands),
+            command=quote_values(remaining, commands),
             name="bramleycrank",
-            serialize=lambda value: None if isinstance(value, Pending) else value,
+            serialize=lambda value: None if isinstance(value, DeferredCommand) else value,
         )
-        if isinstance(result, Pending):
+        if isinstance(result, DeferredCommand):
             asyncio.run(result._run())
     except BramleycrankError as exc:
         _report(exc, as_json)
@@ -130,7 +130,7 @@
     except KeyboardInterrupt:
         return 130
     except BrokenPipeError:
-        # The reader of the output, such as head, has ended; what is left must not raise again.
+        # The reader of the output, such as head, has exited; the flush at exit must not raise.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 141
     return 0
--- a/bramleycrank/cli/output.py
+++ b/bramleycrank/cli/output.py
@@ -18,29 +18,31 @@
     return "\n".join(line.rstrip() for line in padded)
 
 
-def as_data(message: Message) -> dict[str, Any]:
-    """Return a protobuf message as JSON-ready data with the field names of the protocol.
+def message_to_dict(message: Message) -> dict[str, Any]:
+    """Return a protobuf message as a dict with the field names of the protocol.
 
-    The JSON form of protobuf turns 64-bit numbers into strings; here they stay numbers.
+    The JSON form of protobuf turns 64-bit integers into strings; here they stay integers.
     """
     data = MessageToDict(
         message, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
-    return _with_numbers(message, data)
+    return _restore_int64(message, data)
 
 
-def _with_numbers(message: Message, data: dict[str, Any]) -> dict[str, Any]:
+def _restore_int64(message: Message, data: dict[str, Any]) -> dict[str, Any]:
     for field in message.DESCRIPTOR.fields:
         if field.name not in data or _is_map(field):
             continue
-        value, shown = getattr(message, field.name), data[field.name]
+        value, json_value = getattr(message, field.name), data[field.name]
         if field.message_type is None:
             if field.cpp_type in (field.CPPTYPE_INT64, field.CPPTYPE_UINT64):
-                data[field.name] = list(value) if isinstance(shown, list) else value
-        elif isinstance(shown, list):
-            data[field.name] = [_with_numbers(m, d) for m, d in zip(value, shown, strict=True)]
+                data[field.name] = list(value) if isinstance(json_value, list) else value
+        elif isinstance(json_value, list):
+            data[field.name] = [
+                _restore_int64(m, d) for m, d in zip(value, json_value, strict=True)
+            ]
         else:
-            data[field.name] = _with_numbers(value, shown)
+            data[field.name] = _restore_int64(value, json_value)
     return data
 
 
@@ -49,5 +51,5 @@
 
 
 def print_result(data: Mapping[str, Any], text: str, *, as_json: bool) -> None:
-    """Print a result in one of its two forms."""
+    """Print a result as JSON or as text."""
     print(json.dumps(data, indent=2, sort_keys=True) if as_json else text, flush=True)
--- a/bramleycrank/cli/query.py
+++ b/bramleycrank/cli/query.py
@@ -1,4 +1,4 @@
-"""Commands that send requests as a caller does, by HTTP."""
+"""Commands that send requests over HTTP, as a caller does."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bramleycrank.cli.arguments import command
-from bramleycrank.cli.context import Context, Pending, parse_address
+from bramleycrank.cli.context import Context, DeferredCommand, parse_address
 from bramleycrank.cli.output import table
 from bramleycrank.exceptions import (
     BramleycrankError,
@@ -23,7 +23,7 @@
 )
 
 DEFAULT_DEADLINE_MS = 1_000
-# The daemon answers by the deadline; the rest is for the way there and back.
+# The daemon answers by the deadline; the margin covers the round trip.
 TIMEOUT_MARGIN_S = 2.0
 
 
@@ -42,7 +42,7 @@
         deadline_ms: int = 0,
         priority: str = "normal",
         allow_partial: bool = True,
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Search all shards of a service.
 
         Parameters
@@ -52,16 +52,16 @@
         query : str
             Search text.
         limit : int
-            Most hits to return.
+            Maximum number of hits.
         deadline_ms : int
-            Time for the whole answer in ms; 0: the default of the service.
+            Deadline of the answer in ms; 0: the default of the service.
         priority : str
             Priority class: urgent, normal or bulk.
         allow_partial : bool
             Accept an answer that lacks shards.
         """
         fields = {"kind": "search", "query": query, "limit": limit}
-        return self._read(service, fields, deadline_ms, priority, allow_partial)
+        return self._send_read(service, fields, deadline_ms, priority, allow_partial)
 
     @command
     def quick_match(
@@ -72,7 +72,7 @@
         deadline_ms: int = 0,
         priority: str = "normal",
         allow_partial: bool = True,
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Search for a few good hits; `search --help` describes the options.
 
         Parameters
@@ -85,12 +85,12 @@
             See `search`; deadline_ms is in ms.
         """
         fields = {"kind": "quick_match", "query": query, "limit": limit}
-        return self._read(service, fields, deadline_ms, priority, allow_partial)
+        return self._send_read(service, fields, deadline_ms, priority, allow_partial)
 
     @command
     def fetch(
         self, service: str, key: str, deadline_ms: int = 0, priority: str = "normal"
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Fetch one record.
 
         Parameters
@@ -100,11 +100,11 @@
         key : str
             Record key.
         deadline_ms : int
-            Time for the answer in ms; 0: the default of the service.
+            Deadline of the answer in ms; 0: the default of the service.
         priority : str
             Priority class: urgent, normal or bulk.
         """
-        return self._read(service, {"kind": "fetch", "key": key}, deadline_ms, priority, True)
+        return self._send_read(service, {"kind": "fetch", "key": key}, deadline_ms, priority, True)
 
     @command
     def execute(
@@ -117,7 +117,7 @@
         issued_at_ms: int = 0,
         deadline_ms: int = 0,
         priority: str = "normal",
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Run a request of an operator-defined kind, at most once.
 
         The request key and the time of issue are shown in the result or error; give both to
@@ -132,13 +132,13 @@
         key : str
             Record key; selects the shard.
         payload : str
-            Passed to the target.
+            Payload for the target.
         request_key : str
             Key of an earlier attempt, to resend it; empty: a new one.
         issued_at_ms : int
             Unix time in ms of an earlier attempt, to resend it; 0: now.
         deadline_ms : int
-            Time for the answer in ms; 0: the default of the service.
+            Deadline of the answer in ms; 0: the default of the service.
         priority : str
             Priority class: urgent, normal or bulk.
         """
@@ -151,21 +151,21 @@
         }
         return self._send(service, body, deadline_ms, priority)
 
-    def _read(
+    def _send_read(
         self,
         service: str,
         fields: dict[str, Any],
         deadline_ms: int,
         priority: str,
         allow_partial: bool,
-    ) -> Pending:
+    ) -> DeferredCommand:
         return self._send(
             service, {**fields, "allow_partial": allow_partial}, deadline_ms, priority
         )
 
     def _send(
         self, service: str, fields: dict[str, Any], deadline_ms: int, priority: str
-    ) -> Pending:
+    ) -> DeferredCommand:
         body = {"service": service, "class": priority, **fields}
         if deadline_ms:
             body["deadline_ms"] = deadline_ms
@@ -183,37 +183,37 @@
                         f" --issued-at-ms {body['issued_at_ms']})"
                     )
                 raise
-            self._context.show(answer, _text(answer))
+            self._context.show(answer, _format_answer(answer))
 
-        return Pending(run)
+        return DeferredCommand(run)
 
 
 def post_json(url: str, body: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-    """Send a JSON object and return the one that comes back.
+    """Send a JSON object and return the JSON object of the response.
 
     Raises
     ------
     BramleycrankError
-        The error of the answer, or `PeerUnreachable`.
+        The error in the response, or `PeerUnreachable`.
     """
     request = urllib.request.Request(
         url, json.dumps(body).encode(), {"Content-Type": "application/json"}
     )
-    # Settings of the environment for proxies do not apply to VMs.
+    # Proxy settings of the environment do not apply to VMs.
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(request, timeout=timeout_s) as reply:
             return json.load(reply)
     except urllib.error.HTTPError as exc:
-        raise _error(exc.code, exc.read()) from exc
+        raise _parse_error(exc.code, exc.read()) from exc
     except urllib.error.URLError as exc:
         raise PeerUnreachable(f"{url}: {exc.reason}") from exc
     except (OSError, http.client.HTTPException, ValueError) as exc:
         raise PeerUnreachable(f"{url}: {exc!r}") from exc
 
 
-def _error(status: int, content: bytes) -> BramleycrankError:
-    """Return the typed error of an answer."""
+def _parse_error(status: int, content: bytes) -> BramleycrankError:
+    """Return the typed error of a response."""
     try:
         data = json.loads(content)["error"]
         cls = error_types().get(data["code"], RemoteError)
@@ -229,8 +229,8 @@
         return RemoteError(f"HTTP status {status} without a readable error")
 
 
-def _text(answer: dict[str, Any]) -> str:
-    """Return an answer as lines for people."""
+def _format_answer(answer: dict[str, Any]) -> str:
+    """Return an answer as readable text."""
     snapshot, coverage = answer["snapshot"], answer["coverage"]
     lines = [
         f"{answer['outcome']}: {coverage['answered']} of {coverage['total']} shards, "
--- a/bramleycrank/cli/service.py
+++ b/bramleycrank/cli/service.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from bramleycrank.cli.arguments import command, words
+from bramleycrank.cli.arguments import command, split_commas
 from bramleycrank.cli.context import (
     TIMEOUT_MARGIN_S,
     Context,
     OperatorClient,
-    Pending,
+    DeferredCommand,
     new_change_id,
 )
-from bramleycrank.cli.output import as_data, table
+from bramleycrank.cli.output import message_to_dict, table
 from bramleycrank.exceptions import NotFound, UnknownService
 from bramleycrank.proto import operator_pb2 as pb
 from bramleycrank.proto.log_pb2 import Change, KindConfig, ServiceConfig
@@ -19,27 +19,29 @@
 
 
 class ServiceCommands:
-    """Lists and changes the configuration of services."""
+    """Shows and changes the configuration of services."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     @command
-    def list(self) -> Pending:
+    def list(self) -> DeferredCommand:
         """List all services in force on the server."""
 
         async def run() -> None:
             async with self._context.operator() as client:
                 reply = await client.call("ListServices", pb.ListServicesRequest())
-            rows = [_row(service) for service in sorted(reply.services, key=lambda s: s.name)]
+            rows = [
+                _service_row(service) for service in sorted(reply.services, key=lambda s: s.name)
+            ]
             headers = ("NAME", "VERSION", "PINNED", "DEADLINE", "KINDS", "CLASSES")
             text = f"revision {reply.revision}\n{table(headers, rows)}"
-            self._context.show(as_data(reply), text)
+            self._context.show(message_to_dict(reply), text)
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     @command
-    def get(self, name: str) -> Pending:
+    def get(self, name: str) -> DeferredCommand:
         """Show one service with all its fields.
 
         Parameters
@@ -51,12 +53,12 @@
         async def run() -> None:
             async with self._context.operator() as client:
                 service = await client.call("GetService", pb.GetServiceRequest(name=name))
-            data = as_data(service)
-            kinds = ", ".join(_kind(kind) for kind in service.kinds) or "-"
-            shown = {**data, "kinds": kinds, "classes": ", ".join(service.classes) or "all"}
-            self._context.show(data, table(("FIELD", "VALUE"), shown.items()))
+            data = message_to_dict(service)
+            kinds = ", ".join(_format_kind(kind) for kind in service.kinds) or "-"
+            fields = {**data, "kinds": kinds, "classes": ", ".join(service.classes) or "all"}
+            self._context.show(data, table(("FIELD", "VALUE"), fields.items()))
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     @command
     def create(
@@ -73,7 +75,7 @@
         hits_limit: int = 0,
         change_id: str = "",
         timeout_ms: int = CHANGE_TIMEOUT_MS,
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Create a service; fails with VersionConflict if it exists.
 
         Parameters
@@ -87,7 +89,7 @@
         pinned_version : int
             Index version to use; 0: the newest complete one.
         default_deadline_ms : int
-            Deadline in ms of requests that name none; 0: 1,000 ms.
+            Deadline in ms of requests without one; 0: 1,000 ms.
         max_concurrency : int
             Requests in flight per VM; 0: adaptive only.
         queue_limit : int
@@ -97,20 +99,20 @@
         hedging : bool
             Whether slow sub-requests may be hedged.
         hits_limit : int
-            Largest limit a caller may ask for; 0: 1,000.
+            Maximum number of hits that a caller may request; 0: 1,000.
         change_id : str
             Id of an earlier attempt, to resend it; empty: a new one.
         timeout_ms : int
-            Longest wait for the change in ms.
+            Timeout of the change in ms.
         """
         config = ServiceConfig(
             name=name,
-            kinds=_kinds(kinds, idempotent_kinds),
+            kinds=_kind_configs(kinds, idempotent_kinds),
             pinned_version=pinned_version,
             default_deadline_ms=default_deadline_ms,
             max_concurrency=max_concurrency,
             queue_limit=queue_limit,
-            classes=words(classes),
+            classes=split_commas(classes),
             hedging_disabled=not hedging,
             hits_limit=hits_limit,
         )
@@ -120,7 +122,7 @@
             async with self._context.operator() as client:
                 await self._apply(client, change, timeout_ms)
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     @command
     def update(
@@ -138,7 +140,7 @@
         expected_version: int = 0,
         change_id: str = "",
         timeout_ms: int = CHANGE_TIMEOUT_MS,
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Change the given fields of a service; `create --help` describes them.
 
         Kinds are replaced as a whole: give all of `kinds` and `idempotent_kinds`.
@@ -156,9 +158,9 @@
         change_id : str
             Id of an earlier attempt, to resend it; empty: a new one.
         timeout_ms : int
-            Longest wait for the change in ms.
+            Timeout of the change in ms.
         """
-        numbers = {
+        new_numbers = {
             "pinned_version": pinned_version,
             "default_deadline_ms": default_deadline_ms,
             "max_concurrency": max_concurrency,
@@ -169,10 +171,10 @@
         async def run() -> None:
             async with self._context.operator() as client:
                 config = await client.call("GetService", pb.GetServiceRequest(name=name))
-                for field, value in numbers.items():
+                for field, value in new_numbers.items():
                     if value is not None:
                         setattr(config, field, value)
-                _replace(config, kinds, idempotent_kinds, classes)
+                _replace_lists(config, kinds, idempotent_kinds, classes)
                 if hedging is not None:
                     config.hedging_disabled = not hedging
                 change = Change(
@@ -182,7 +184,7 @@
                 )
                 await self._apply(client, change, timeout_ms)
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     @command
     def delete(
@@ -191,7 +193,7 @@
         expected_version: int = 0,
         change_id: str = "",
         timeout_ms: int = CHANGE_TIMEOUT_MS,
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Delete a service.
 
         Parameters
@@ -203,12 +205,12 @@
         change_id : str
             Id of an earlier attempt, to resend it; empty: a new one.
         timeout_ms : int
-            Longest wait for the change in ms.
+            Timeout of the change in ms.
         """
 
         async def run() -> None:
             async with self._context.operator() as client:
-                version = expected_version or await _version(client, name, bool(change_id))
+                version = expected_version or await _current_version(client, name, bool(change_id))
                 change = Change(
                     change_id=new_change_id(change_id),
                     expected_version=version,
@@ -216,18 +218,18 @@
                 )
                 await self._apply(client, change, timeout_ms)
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     async def _apply(self, client: OperatorClient, change: Change, timeout_ms: int) -> None:
         request = pb.ChangeRequest(change=change, timeout_ms=timeout_ms)
         timeout_s = timeout_ms / 1000 + TIMEOUT_MARGIN_S
         reply = await client.call("ApplyChange", request, timeout_s)
-        data = {**as_data(reply), "change_id": change.change_id}
+        data = {**message_to_dict(reply), "change_id": change.change_id}
         self._context.show(data, f"accepted: revision {reply.revision}, version {reply.version}")
 
 
-async def _version(client: OperatorClient, name: str, resend: bool) -> int:
-    """Return the version in force; a resend may find the service gone by its first attempt."""
+async def _current_version(client: OperatorClient, name: str, resend: bool) -> int:
+    """Return the version in force; 0 if an earlier attempt of a resend deleted the service."""
     try:
         return (await client.call("GetService", pb.GetServiceRequest(name=name))).version
     except (NotFound, UnknownService):
@@ -236,33 +238,35 @@
         raise
 
 
-def _replace(config: ServiceConfig, kinds: object, idempotent: object, classes: object) -> None:
-    """Replace the lists that were given."""
+def _replace_lists(
+    config: ServiceConfig, kinds: object, idempotent: object, classes: object
+) -> None:
+    """Replace the list fields that have a new value."""
     if kinds is not None or idempotent is not None:
         del config.kinds[:]
-        config.kinds.extend(_kinds(kinds, idempotent))
+        config.kinds.extend(_kind_configs(kinds, idempotent))
     if classes is not None:
         del config.classes[:]
-        config.classes.extend(words(classes))
+        config.classes.extend(split_commas(classes))
 
 
-def _kinds(kinds: object, idempotent: object) -> list[KindConfig]:
+def _kind_configs(kinds: object, idempotent: object) -> list[KindConfig]:
     return [
-        *(KindConfig(name=name) for name in words(kinds)),
-        *(KindConfig(name=name, idempotent=True) for name in words(idempotent)),
+        *(KindConfig(name=name) for name in split_commas(kinds)),
+        *(KindConfig(name=name, idempotent=True) for name in split_commas(idempotent)),
     ]
 
 
-def _kind(kind: KindConfig) -> str:
+def _format_kind(kind: KindConfig) -> str:
     return f"{kind.name} (idempotent)" if kind.idempotent else kind.name
 
 
-def _row(service: ServiceConfig) -> tuple[object, ...]:
+def _service_row(service: ServiceConfig) -> tuple[object, ...]:
     return (
         service.name,
         service.version,
         service.pinned_version or "-",
         f"{service.default_deadline_ms} ms" if service.default_deadline_ms else "1000 ms",
-        ", ".join(_kind(kind) for kind in service.kinds) or "-",
+        ", ".join(_format_kind(kind) for kind in service.kinds) or "-",
         ", ".join(service.classes) or "all",
     )
--- a/bramleycrank/cli/standin.py
+++ b/bramleycrank/cli/standin.py
@@ -1,12 +1,12 @@
-"""Commands for the faults of stand-in targets."""
+"""Commands that control stand-in targets."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from bramleycrank.cli.arguments import command, invalid, words
-from bramleycrank.cli.context import CALL_TIMEOUT_S, Context, Pending, channel
-from bramleycrank.cli.output import as_data, table
+from bramleycrank.cli.arguments import command, invalid_argument, split_commas
+from bramleycrank.cli.context import CALL_TIMEOUT_S, Context, DeferredCommand, open_channel
+from bramleycrank.cli.output import message_to_dict, table
 from bramleycrank.proto import standin_pb2 as pb
 from bramleycrank.proto.standin_grpc import StandInStub
 from bramleycrank.proto.target_pb2 import Replica, Snapshot
@@ -14,7 +14,7 @@
 
 
 class StandInCommands:
-    """Switches faults of stand-in targets on and off; each process has a control address."""
+    """Controls the stand-in targets of a process through its control address."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -32,8 +32,8 @@
         frozen: bool = False,
         silent_share: float = 0.0,
         reset: bool = False,
-    ) -> Pending:
-        """Add faults; values of 0 change nothing, `--reset` ends earlier faults first.
+    ) -> DeferredCommand:
+        """Add faults; values of 0 change nothing, `--reset` clears earlier faults first.
 
         Parameters
         ----------
@@ -46,17 +46,17 @@
         straggler_share : float
             Share of sub-requests that are stragglers, 0 to 1.
         straggler_factor : float
-            Factor on the service time of stragglers; 20 at first.
+            Factor on the service time of stragglers; initially 20.
         shed_share : float
             Share of sub-requests that are shed, 0 to 1.
         fail_share : float
             Share of sub-requests that fail, 0 to 1.
         frozen : bool
-            Answer nothing and keep connections open.
+            Send nothing and keep connections open.
         silent_share : float
-            Share of the open connections that go silent for good, 0 to 1.
+            Share of the open connections that become silent permanently, 0 to 1.
         reset : bool
-            End all faults first; silent connections stay silent.
+            Clear all faults first; silent connections stay silent.
         """
         request = pb.FaultRequest(
             target_id=target,
@@ -74,7 +74,7 @@
     @command
     def replicas(
         self, control: str, target: str, version: int, shard_count: int, shards: str = ""
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Replace the replicas of a target.
 
         Parameters
@@ -91,16 +91,16 @@
             Shards held, separated by commas; empty: none.
         """
         snapshot = Snapshot(version=version, shard_count=shard_count)
-        held = words(shards)
+        held = split_commas(shards)
         if not all(shard.isdigit() for shard in held):
-            raise invalid(f"shards: {shards!r} is not a list of numbers")
+            raise invalid_argument(f"shards: {shards!r} is not a list of numbers")
         replicas = [Replica(snapshot=snapshot, shard=int(shard)) for shard in held]
         request = pb.SetReplicasRequest(target_id=target, replicas=replicas)
         return self._send(control, "SetReplicas", request)
 
     @command
-    def drain(self, control: str, target: str = "") -> Pending:
-        """Make a target leave.
+    def drain(self, control: str, target: str = "") -> DeferredCommand:
+        """Drain a target: it refuses new sub-requests and announces that it leaves.
 
         Parameters
         ----------
@@ -112,7 +112,7 @@
         return self._send(control, "Drain", pb.DrainRequest(target_id=target))
 
     @command
-    def stats(self, control: str) -> Pending:
+    def stats(self, control: str) -> DeferredCommand:
         """Show the counters of all targets of a process.
 
         Parameters
@@ -128,18 +128,18 @@
                 (t.target_id, t.received, t.executed, t.shed, t.cancelled, t.open_connections)
                 for t in reply.targets
             ]
-            self._context.show(as_data(reply), table(headers, rows))
+            self._context.show(message_to_dict(reply), table(headers, rows))
 
-        return Pending(run)
+        return DeferredCommand(run)
 
-    def _send(self, control: str, method: str, request: Any) -> Pending:
+    def _send(self, control: str, method: str, request: Any) -> DeferredCommand:
         async def run() -> None:
             await _call(control, method, request)
             self._context.show({"result": "ok"}, "ok")
 
-        return Pending(run)
+        return DeferredCommand(run)
 
 
 async def _call(control: str, method: str, request: Any) -> Any:
-    async with channel(control, "control") as conn:
+    async with open_channel(control, "control") as conn:
         return await call(getattr(StandInStub(conn), method), request, timeout_s=CALL_TIMEOUT_S)
--- a/bramleycrank/cli/target.py
+++ b/bramleycrank/cli/target.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from bramleycrank.cli.arguments import command
-from bramleycrank.cli.context import Context, Pending
-from bramleycrank.cli.output import as_data, table
+from bramleycrank.cli.context import Context, DeferredCommand
+from bramleycrank.cli.output import message_to_dict, table
 from bramleycrank.proto import operator_pb2 as pb
 from bramleycrank.proto import target_pb2
 
@@ -16,7 +16,7 @@
         self._context = context
 
     @command
-    def list(self, service: str = "") -> Pending:
+    def list(self, service: str = "") -> DeferredCommand:
         """List targets with state, home VM and replicas (version/shard of shard count).
 
         Parameters
@@ -30,13 +30,13 @@
                 request = pb.ListTargetsRequest(service=service)
                 reply = await client.call("ListTargets", request)
             headers = ("TARGET", "SERVICE", "DOMAIN", "ADDRESS", "STATE", "HOME", "REPLICAS")
-            rows = [_row(t) for t in sorted(reply.targets, key=lambda t: t.target_id)]
-            self._context.show(as_data(reply), table(headers, rows))
+            rows = [_target_row(t) for t in sorted(reply.targets, key=lambda t: t.target_id)]
+            self._context.show(message_to_dict(reply), table(headers, rows))
 
-        return Pending(run)
+        return DeferredCommand(run)
 
 
-def _row(target: target_pb2.TargetRecord) -> tuple[object, ...]:
+def _target_row(target: target_pb2.TargetRecord) -> tuple[object, ...]:
     state = target_pb2.TargetState.Name(target.state).removeprefix("TARGET_STATE_").lower()
     replicas = (
         f"{r.snapshot.version}/{r.shard} of {r.snapshot.shard_count}" for r in target.replicas
--- a/bramleycrank/cli/vm.py
+++ b/bramleycrank/cli/vm.py
@@ -1,17 +1,17 @@
-"""Commands for VMs and for the voters of the replicated log."""
+"""Commands for VMs and voters of the replicated log."""
 
 from __future__ import annotations
 
-from bramleycrank.cli.arguments import command, invalid, words
+from bramleycrank.cli.arguments import command, invalid_argument, split_commas
 from bramleycrank.cli.config import leader_line
 from bramleycrank.cli.context import (
     TIMEOUT_MARGIN_S,
     Context,
-    Pending,
+    DeferredCommand,
     new_change_id,
     parse_address,
 )
-from bramleycrank.cli.output import as_data, table
+from bramleycrank.cli.output import message_to_dict, table
 from bramleycrank.proto import operator_pb2 as pb
 from bramleycrank.proto import peer_pb2
 
@@ -26,7 +26,7 @@
         self._context = context
 
     @command
-    def list(self) -> Pending:
+    def list(self) -> DeferredCommand:
         """List all known VMs with state, role and revision, and the members of the log."""
 
         async def run() -> None:
@@ -34,16 +34,16 @@
                 reply = await client.call("Status", pb.StatusRequest())
             headers = ("VM", "DOMAIN", "ADDRESS", "STATE", "ROLE", "REVISION")
             vms = table(headers, [_vm_row(vm) for vm in reply.vms])
-            text = f"{leader_line(reply)}\n{vms}\n\n{_members(reply.membership)}"
-            self._context.show(as_data(reply), text)
+            text = f"{leader_line(reply)}\n{vms}\n\n{_members_table(reply.membership)}"
+            self._context.show(message_to_dict(reply), text)
 
-        return Pending(run)
+        return DeferredCommand(run)
 
     status = list
 
     @command
-    def bootstrap(self, addresses: str) -> Pending:
-        """Make the first voters on empty data folders; needed once for the whole system.
+    def bootstrap(self, addresses: str) -> DeferredCommand:
+        """Bootstrap the first voters on empty data folders; needed once for the whole system.
 
         Parameters
         ----------
@@ -51,14 +51,14 @@
             gRPC addresses host:port of all first voters, the server's own included, separated by
             commas.
         """
-        chosen = [str(parse_address(text, "addresses")) for text in words(addresses)]
-        if not chosen:
-            raise invalid("addresses: name at least one VM")
-        return self._change("Bootstrap", pb.BootstrapRequest(addresses=chosen), BOOTSTRAP_TIMEOUT_S)
+        parsed = [str(parse_address(text, "addresses")) for text in split_commas(addresses)]
+        if not parsed:
+            raise invalid_argument("addresses: name at least one VM")
+        return self._change("Bootstrap", pb.BootstrapRequest(addresses=parsed), BOOTSTRAP_TIMEOUT_S)
 
     @command
-    def drain(self, vm_id: str, change_id: str = "") -> Pending:
-        """Take a VM out of service gracefully; its process goes on.
+    def drain(self, vm_id: str, change_id: str = "") -> DeferredCommand:
+        """Take a VM out of service gracefully; its process keeps running.
 
         Parameters
         ----------
@@ -70,7 +70,7 @@
         return self._drain(vm_id, True, change_id)
 
     @command
-    def undrain(self, vm_id: str, change_id: str = "") -> Pending:
+    def undrain(self, vm_id: str, change_id: str = "") -> DeferredCommand:
         """Put a drained VM back into service.
 
         Parameters
@@ -83,7 +83,7 @@
         return self._drain(vm_id, False, change_id)
 
     @command
-    def add_voter(self, address: str, timeout_ms: int = MEMBER_TIMEOUT_MS) -> Pending:
+    def add_voter(self, address: str, timeout_ms: int = MEMBER_TIMEOUT_MS) -> DeferredCommand:
         """Add a VM as a learner and promote it once it has caught up.
 
         Parameters
@@ -91,14 +91,14 @@
         address : str
             gRPC address host:port of the VM.
         timeout_ms : int
-            Longest wait in ms.
+            Timeout in ms.
         """
-        chosen = str(parse_address(address, "address"))
-        request = pb.MemberRequest(address=chosen, timeout_ms=timeout_ms)
+        parsed = str(parse_address(address, "address"))
+        request = pb.MemberRequest(address=parsed, timeout_ms=timeout_ms)
         return self._change("AddVoter", request, timeout_ms / 1000 + TIMEOUT_MARGIN_S)
 
     @command
-    def remove_voter(self, node_id: str, timeout_ms: int = MEMBER_TIMEOUT_MS) -> Pending:
+    def remove_voter(self, node_id: str, timeout_ms: int = MEMBER_TIMEOUT_MS) -> DeferredCommand:
         """Remove a voter or learner.
 
         Parameters
@@ -106,7 +106,7 @@
         node_id : str
             Node id as `vm list` shows it, such as vm1/2f0c.
         timeout_ms : int
-            Longest wait in ms.
+            Timeout in ms.
         """
         request = pb.MemberRequest(node_id=node_id, timeout_ms=timeout_ms)
         return self._change("RemoveVoter", request, timeout_ms / 1000 + TIMEOUT_MARGIN_S)
@@ -114,7 +114,7 @@
     @command
     def replace_voter(
         self, node_id: str, address: str, timeout_ms: int = MEMBER_TIMEOUT_MS
-    ) -> Pending:
+    ) -> DeferredCommand:
         """Add and promote a VM, then remove an old voter.
 
         Parameters
@@ -124,31 +124,31 @@
         address : str
             gRPC address host:port of the new VM.
         timeout_ms : int
-            Longest wait in ms.
+            Timeout in ms.
         """
-        chosen = str(parse_address(address, "address"))
-        request = pb.MemberRequest(address=chosen, node_id=node_id, timeout_ms=timeout_ms)
+        parsed = str(parse_address(address, "address"))
+        request = pb.MemberRequest(address=parsed, node_id=node_id, timeout_ms=timeout_ms)
         return self._change("ReplaceVoter", request, timeout_ms / 1000 + TIMEOUT_MARGIN_S)
 
-    def _drain(self, vm_id: str, drained: bool, change_id: str) -> Pending:
+    def _drain(self, vm_id: str, drained: bool, change_id: str) -> DeferredCommand:
         async def run() -> None:
             request = pb.DrainRequest(
                 vm_id=vm_id, drained=drained, change_id=new_change_id(change_id)
             )
             async with self._context.operator() as client:
                 reply = await client.call("DrainVm", request)
-            data = {**as_data(reply), "change_id": request.change_id}
+            data = {**message_to_dict(reply), "change_id": request.change_id}
             self._context.show(data, f"accepted: revision {reply.revision}")
 
-        return Pending(run)
+        return DeferredCommand(run)
 
-    def _change(self, method: str, request: object, timeout_s: float) -> Pending:
+    def _change(self, method: str, request: object, timeout_s: float) -> DeferredCommand:
         async def run() -> None:
             async with self._context.operator() as client:
                 reply = await client.call(method, request, timeout_s)
-            self._context.show(as_data(reply), _members(reply.membership))
+            self._context.show(message_to_dict(reply), _members_table(reply.membership))
 
-        return Pending(run)
+        return DeferredCommand(run)
 
 
 def _vm_row(vm: pb.VmStatus) -> tuple[object, ...]:
@@ -164,7 +164,7 @@
     )
 
 
-def _members(membership) -> str:
+def _members_table(membership) -> str:
     """Return the members of the replicated log as a table."""
     rows = [
         (m.node_id, m.domain, f"{m.host}:{m.port}", "voter" if m.voter else "learner")
--- a/bramleycrank/settings/loader.py
+++ b/bramleycrank/settings/loader.py
@@ -72,7 +72,7 @@
     ----------
     cls : type
         attrs class whose fields were declared with `section`; its method ``check(problems)``
-        reports combinations that cannot work.
+        reports values that are invalid in combination.
     data : Mapping
         Content of the file.
     source : str
