--- a/bramleycrank/exceptions.py
+++ b/bramleycrank/exceptions.py
@@ -1,6 +1,6 @@
-"""Every error type of the project, with its code.
+"""All error types of the project, with their codes.
 
-The code is stable and appears in HTTP answers, in the ``bramleycrank-code`` trailer of remote
+The code is stable and appears in HTTP responses, in the ``bramleycrank-code`` trailer of remote
 procedure calls and in logs. Codes are grouped by hundreds: 1xx invalid input, 2xx refused for load
 or time, 3xx coverage and targets, 4xx at-most-once execution, 5xx configuration and consensus,
 6xx storage, 7xx transport, 9xx internal.
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What an error says about the execution of the request."""
+    """Whether a request that failed was executed."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -25,11 +25,11 @@
     Parameters
     ----------
     message : str
-        One short sentence for people.
+        One short sentence for logs and users.
     outcome : Outcome, optional
-        Whether the request is known not to have run. The safe default is ``UNKNOWN``.
+        Whether the request is known not to have run; ``UNKNOWN`` is the safe default.
     retry_after_ms : int, optional
-        When the caller should come back, in milliseconds; 0 if a retry cannot help.
+        Time after which the caller may retry, in milliseconds; 0 if a retry is useless.
     """
 
     code: ClassVar[int] = 900
@@ -50,7 +50,7 @@
         return type(self).__name__
 
     def as_dict(self) -> dict[str, object]:
-        """Return the JSON form that callers see."""
+        """Return the JSON form that is sent to callers."""
         return {
             "code": self.code,
             "name": self.name,
@@ -156,7 +156,7 @@
 
 
 class Cancelled(BramleycrankError):
-    """The caller went away before the answer was complete."""
+    """The caller disconnected before the answer was complete."""
 
     code = 205
     http_status = 499
@@ -186,7 +186,7 @@
 
 
 class OutcomeUnknown(BramleycrankError):
-    """It cannot be shown whether the request ran."""
+    """It is unknown whether the request ran."""
 
     code = 400
     http_status = 409
@@ -354,7 +354,7 @@
 def error_types() -> dict[int, type[BramleycrankError]]:
     """Return every error type by its code."""
 
-    def walk(cls: type[BramleycrankError]) -> list[type[BramleycrankError]]:
-        return [cls, *(sub for child in cls.__subclasses__() for sub in walk(child))]
+    def with_subclasses(cls: type[BramleycrankError]) -> list[type[BramleycrankError]]:
+        return [cls, *(sub for child in cls.__subclasses__() for sub in with_subclasses(child))]
 
-    return {cls.code: cls for cls in walk(BramleycrankError) if "code" in vars(cls)}
+    return {cls.code: cls for cls in with_subclasses(BramleycrankError) if "code" in vars(cls)}
