--- a/tests/cli_fakes.py
+++ b/tests/cli_fakes.py
@@ -1,4 +1,4 @@
-"""A fake operators' service and a fake HTTP interface for the tests of the command line."""
+"""Fake operator service and fake HTTP server for the tests of the command line."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
 
 
 class OperatorThread:
-    """Serves a fake operators' service on a thread of its own."""
+    """Runs a fake operator service on a separate thread."""
 
     def __init__(self, service):
         self._service = service
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -36,15 +36,15 @@
         yield call
 
 
-def created(cli, *more):
+def create_service(cli, *more):
     code, out, _ = cli("service", "create", "archivio", "--json", *more)
     assert code == 0
     return json.loads(out)
 
 
 def test_create_sends_all_fields(cli, fake):
-    """Guards against options that are accepted and lost."""
-    reply = created(
+    """Guards against options that are accepted but not sent."""
+    reply = create_service(
         cli,
         "--kinds=work_order,refund",
         "--idempotent-kinds=stock",
@@ -65,27 +65,27 @@
     assert reply == {"revision": 1, "version": 1, "change_id": fake.requests[0].change.change_id}
 
 
-def test_a_resend_with_the_change_id_gets_the_first_answer(cli, fake):
-    """Guards against a change that is made twice after a lost answer."""
-    first = created(cli, "--change-id=c1")
+def test_a_resend_with_the_same_change_id_returns_the_first_reply(cli, fake):
+    """Guards against a change that is applied twice after a lost reply."""
+    first = create_service(cli, "--change-id=c1")
     code, _, err = cli("service", "create", "archivio")
     assert code == 7 and "503 VersionConflict" in err
-    assert created(cli, "--change-id=c1") == first and first["change_id"] == "c1"
+    assert create_service(cli, "--change-id=c1") == first and first["change_id"] == "c1"
     for _ in range(2):
         assert cli("service", "delete", "archivio", "--change-id=c2")[0] == 0
     assert fake.revision == 2 and not fake.services
 
 
-def test_the_change_id_is_shown_before_the_answer(cli, fake):
-    """Guards against a change that cannot be resent because its id was never seen."""
+def test_the_change_id_is_printed_before_the_result(cli, fake):
+    """Guards against a change that cannot be resent because its id was not printed."""
     _, out, err = cli("service", "create", "archivio")
     assert err == f"change id: {fake.requests[0].change.change_id}\n"
     assert out == "accepted: revision 1, version 1\n"
 
 
-def test_update_keeps_other_fields_and_names_the_version(cli, fake):
-    """Guards against an update that resets fields, or that overwrites a racing change."""
-    created(cli, "--kinds=work_order", "--hits-limit=50")
+def test_update_keeps_other_fields_and_sends_the_expected_version(cli, fake):
+    """Guards against an update that resets fields, or that overwrites a concurrent change."""
+    create_service(cli, "--kinds=work_order", "--hits-limit=50")
     assert cli("service", "update", "archivio", "--queue-limit=9", "--hedging=false")[0] == 0
     service = fake.services["archivio"]
     assert (service.queue_limit, service.hits_limit, service.hedging_disabled) == (9, 50, True)
@@ -97,7 +97,7 @@
 
 
 def test_a_mistyped_option_changes_nothing(cli, fake):
-    """Guards against a change that was made before the surplus argument was noticed."""
+    """Guards against a change that is applied before the unknown option is detected."""
     with pytest.raises(SystemExit) as exit_info:
         cli("service", "create", "archivio", "--queue-limits=9")
     assert exit_info.value.code == 2 and not fake.requests
@@ -113,15 +113,15 @@
         ("--timeout-ms=1.5",),
     ],
 )
-def test_a_malformed_value_is_refused(cli, fake, words):
-    """Guards against a traceback, or a value that is silently changed."""
+def test_a_malformed_value_is_rejected(cli, fake, words):
+    """Guards against a traceback, or a value that is converted silently."""
     code, _, err = cli("service", "create", "archivio", *words)
     assert code == 2 and "100 InvalidRequest" in err and not fake.requests
 
 
-def test_lists_are_tables_or_json(cli):
-    """Guards against tables that scripts would have to parse."""
-    created(cli)
+def test_lists_are_printed_as_tables_or_json(cli):
+    """Guards against list commands without machine-readable output."""
+    create_service(cli)
     _, out, _ = cli("service", "list")
     assert out.splitlines()[0] == "revision 1" and "archivio" in out.splitlines()[2]
     _, out, _ = cli("--json", "service", "list")
@@ -139,7 +139,7 @@
 
 def test_config_wait_ends_when_all_reachable_vms_have_the_revision(cli, fake):
     """Guards against a wait that ends too early, or hangs on an unreachable VM."""
-    created(cli)
+    create_service(cli)
     fake.lagging_calls = 2
     code, out, _ = cli("config", "wait", "1", "--timeout-s=10")
     assert code == 0 and "unreachable: vm3" in out and fake.lagging_calls < 0
@@ -162,16 +162,16 @@
         ),
     ],
 )
-def test_changes_of_voters_reach_the_server(cli, fake, words, fields):
-    """Guards against arguments of a membership change in the wrong places."""
+def test_changes_of_voters_are_sent_with_their_arguments(cli, fake, words, fields):
+    """Guards against membership changes with swapped arguments."""
     code, out, _ = cli("vm", *words)
     sent = {field.name: value for field, value in fake.requests[0].ListFields()}
     assert code == 0 and "vm1/d1" in out
     assert {k: list(v) if k == "addresses" else v for k, v in sent.items()} == fields
 
 
-def test_drain_and_undrain_name_the_vm(cli, fake):
-    """Guards against a drain of the wrong VM, and an error that looks like success."""
+def test_drain_and_undrain_are_sent_for_the_given_vm(cli, fake):
+    """Guards against a drain of the wrong VM, and an error with exit code 0."""
     assert cli("vm", "drain", "vm1", "--change-id=c")[0] == 0
     assert cli("vm", "undrain", "vm1")[0] == 0
     assert [request.drained for request in fake.requests] == [True, False]
@@ -181,7 +181,7 @@
 
 
 def test_an_unreachable_server_has_its_exit_code(capsys, monkeypatch):
-    """Guards against scripts that cannot tell an unreachable VM from a refusal."""
+    """Guards against an unreachable VM that scripts cannot distinguish from a refusal."""
     monkeypatch.setenv("BRAMLEYCRANK_SERVER", "127.0.0.1:1")
     assert run(["service", "list"]) == 9
     assert "700 PeerUnreachable" in capsys.readouterr().err
@@ -189,8 +189,8 @@
     assert run(["service", "list", "--server"]) == 2
 
 
-def test_search_sends_text_unchanged_and_shows_what_is_missing(capsys):
-    """Guards against query text that is read as a number, and a partial answer that looks whole."""
+def test_search_sends_text_unchanged_and_lists_missing_shards(capsys):
+    """Guards against query text parsed as a number, and a partial answer shown as complete."""
     with HttpThread((200, json.dumps(ANSWER)), (200, json.dumps(ANSWER))) as server:
         words = ["query", "search", "archivio", "1e3", "--limit=4", "--http", server.address]
         assert run([*words, "--priority=urgent", "--noallow-partial", "--deadline-ms=300"]) == 0
@@ -210,7 +210,7 @@
 
 
 def test_execute_can_be_resent(capsys):
-    """Guards against a lost answer whose request can only be sent again as a new one."""
+    """Guards against a lost answer whose request cannot be resent under the same key."""
     unknown = {"code": 400, "message": "m", "outcome": "unknown", "retry_after_ms": 0}
     done = {**ANSWER, "result": "receipt", "request_key": "k1"}
     answers = [(409, json.dumps({"error": unknown})), (200, json.dumps(done))]
@@ -221,15 +221,18 @@
         first = server.bodies[0]
         assert f"--request-key {first['request_key']}" in err
         assert f"--issued-at-ms {first['issued_at_ms']}" in err
-        again = [f"--request-key={first['request_key']}", f"--issued-at-ms={first['issued_at_ms']}"]
-        assert run([*words, *again]) == 0
+        resend_options = [
+            f"--request-key={first['request_key']}",
+            f"--issued-at-ms={first['issued_at_ms']}",
+        ]
+        assert run([*words, *resend_options]) == 0
     assert server.bodies[1] == first and first["key"] == "7"
     assert "receipt" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("content", ["", "[]", '{"error": {"code": "x"}}', '{"error": 5}'])
 def test_an_unreadable_answer_is_a_typed_error(capsys, content):
-    """Guards against a traceback when something else answers on the port."""
+    """Guards against a traceback when another program responds on the port."""
     with HttpThread((500, content)) as server:
         assert run(["--http", server.address, "query", "fetch", "archivio", "k"]) == 9
     assert "701 RemoteError" in capsys.readouterr().err
@@ -248,14 +251,14 @@
 
 
 def test_errors_lists_all_codes(capsys):
-    """Guards against a code that operators cannot look up."""
+    """Guards against an error code that the command does not list."""
     assert run(["errors", "--json"]) == 0
     listed = json.loads(capsys.readouterr().out)["errors"]
     assert {row["code"] for row in listed} == set(error_types())
 
 
 def test_help_names_units(capsys):
-    """Guards against numbers that operators have to guess the unit of."""
+    """Guards against options whose unit is not documented."""
     with pytest.raises(SystemExit) as exit_info:
         run(["service", "create", "--help"])
     assert exit_info.value.code == 0
--- a/tests/test_cli_docs.py
+++ b/tests/test_cli_docs.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("name", ["settings.md", "metrics.md", "errors.md"])
 def test_generated_pages_are_up_to_date(name):
-    """Guards against options, metrics and codes that the pages lack; run scripts/pages.py."""
+    """Guards against undocumented options, metrics and codes; run scripts/pages.py to update."""
     assert (ROOT / "docs" / name).read_text() == generated()[name]()
 
 
@@ -38,7 +38,7 @@
 
 
 def commands():
-    """Yield page and words of each command line in the pages."""
+    """Yield the arguments of each command line in the pages."""
     for page in PAGES:
         for line in re.sub(r"\\\n\s*", " ", page.read_text()).splitlines():
             match = re.match(r"(?: {4,})(?:\$ )?bramleycrank (.*)", line)
@@ -51,20 +51,20 @@
 def test_commands_in_the_pages_can_be_called(words):
     """Guards against procedures with commands or options that do not exist."""
     _, rest = read_context(words)
-    place = Commands(Context())
-    while rest and not callable(place):
-        place = getattr(place, rest.pop(0).replace("-", "_"))
+    member = Commands(Context())
+    while rest and not callable(member):
+        member = getattr(member, rest.pop(0).replace("-", "_"))
     options = {
         name.replace("-", "_"): value or "true"
         for name, _, value in (w[2:].partition("=") for w in rest if w.startswith("--"))
     }
-    plain = [word for word in rest if not word.startswith("--")]
-    assert inspect.signature(place).bind(*plain, **options)
-    place(*plain, **options)  # converts and checks the values; nothing runs yet
+    positional = [word for word in rest if not word.startswith("--")]
+    assert inspect.signature(member).bind(*positional, **options)
+    member(*positional, **options)  # converts and checks the values without running the command
 
 
 def test_links_between_pages_resolve():
-    """Guards against a procedure that points to a page that is not there."""
+    """Guards against links to pages that do not exist."""
     for page in PAGES:
         for link in re.findall(r"\]\(([^)#]+)\)", page.read_text()):
             assert (page.parent / link).is_file(), f"{page.name}: {link}"
--- a/tests/test_exceptions.py
+++ b/tests/test_exceptions.py
@@ -6,7 +6,7 @@
 
 
 def test_each_error_type_has_its_own_code():
-    """Guards against two error types that callers cannot tell apart."""
+    """Guards against two error types that callers cannot distinguish."""
     types = [
         cls
         for _, cls in inspect.getmembers(exceptions, inspect.isclass)
