--- a/bramleycrank/cli/service.py
+++ b/bramleycrank/cli/service.py
@@ -6,8 +6,8 @@
 from bramleycrank.cli.context import (
     TIMEOUT_MARGIN_S,
     Context,
-    OperatorClient,
     DeferredCommand,
+    OperatorClient,
     new_change_id,
 )
 from bramleycrank.cli.output import message_to_dict, table
