--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -183,7 +183,7 @@
     def _on_caller_disconnected(self, call: Call) -> None:
         now = self._clock()
         self._metrics.incr("entry.gone")
-        self._requests.note(
+        self._requests.record(
             "caller disconnected",
             call.meta.request_id,
             now,
@@ -197,7 +197,7 @@
     ) -> None:
         version = self._index.version if self._index is not None else 0
         self._metrics.incr(f"entry.answers.{status}")
-        self._requests.note(
+        self._requests.record(
             reason,
             meta.request_id,
             self._clock(),
@@ -258,7 +258,7 @@
             left_s = action.deadline - self._clock()
             data = call.template.encode(self._dialect.target_headers(action.target_id, left_s))
             remote = self._targets.is_remote(action.target_id)
-            self._traffic.note("sub_requests", remote, len(data) + SEGMENT_BYTES)
+            self._traffic.record("sub_requests", remote, len(data) + SEGMENT_BYTES)
             return data
 
         sub = PooledSubRequest(
@@ -281,7 +281,7 @@
         """Process a response; return whether it belongs to the request."""
         call.subs.pop(sub.sub_id, None)
         remote = self._targets.is_remote(sub.target_id)
-        self._traffic.note("sub_requests", remote, response.size, calls=0)
+        self._traffic.record("sub_requests", remote, response.size, calls=0)
         meta = self._dialect.target_meta(response)
         execution, now = call.execution, self._clock()
         mismatched = bool(meta.request_id) and meta.request_id != call.meta.request_id
@@ -361,7 +361,7 @@
         self._metrics.incr(f"entry.answers.{status}")
         self._metrics.timing("entry.latency", latency_s)
         partial = isinstance(action, Merged) and action.missing > 0
-        self._requests.note(
+        self._requests.record(
             outcome,
             call.meta.request_id,
             now,
--- a/bramleycrank/observability/request_log.py
+++ b/bramleycrank/observability/request_log.py
@@ -53,7 +53,7 @@
         self._served_budget = _LineBudget(MAX_SERVED_LINES_PER_S, now)
         self._failed_budget = _LineBudget(MAX_FAILED_LINES_PER_S, now)
 
-    def note(
+    def record(
         self, event: str, request_id: bytes, now: float, *, failed: bool, **fields: object
     ) -> None:
         """Write a line, or omit it if the rate limit is reached.
--- a/bramleycrank/observability/traffic.py
+++ b/bramleycrank/observability/traffic.py
@@ -34,9 +34,9 @@
 
     def note_call(self, purpose: str, address: str, size: int) -> None:
         """Count a call to another VM with the size of request and response in bytes."""
-        self.note(purpose, self.is_remote(address), size + CALL_BYTES)
+        self.record(purpose, self.is_remote(address), size + CALL_BYTES)
 
-    def note(self, purpose: str, remote: bool, size: int, *, calls: int = 1) -> None:
+    def record(self, purpose: str, remote: bool, size: int, *, calls: int = 1) -> None:
         """Count bytes on the wire.
 
         Parameters
--- a/bramleycrank/platform/adapter.py
+++ b/bramleycrank/platform/adapter.py
@@ -59,7 +59,7 @@
 
     def _respond_error(self, exchange: Exchange, exc: BramleycrankError) -> None:
         status = 400 if isinstance(exc, MalformedBody) else exc.http_status
-        self._refusals.note(
+        self._refusals.record(
             "control call refused",
             b"",
             time.monotonic(),
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -255,7 +255,7 @@
         self._refuse("the memory for responses is used up", self._intake.limit_bytes)
 
     def _refuse(self, reason: str, bound: int) -> None:
-        _refusals.note(
+        _refusals.record(
             reason,
             b"",
             time.monotonic(),
--- a/bramleycrank/transport/http1/server_connection.py
+++ b/bramleycrank/transport/http1/server_connection.py
@@ -305,7 +305,7 @@
             return
         status, reason = self._problem
         now = self._loop.time()
-        self._server.refusals.note(
+        self._server.refusals.record(
             reason,
             b"",
             now,
--- a/bramleycrank/transport/peer_client.py
+++ b/bramleycrank/transport/peer_client.py
@@ -143,7 +143,7 @@
             host, _, port = address.rpartition(":")
             # IPv6 numbers stand in brackets in an address, and without them in a socket call.
             link = self._links[address] = _Link(Channel(host.strip("[]"), int(port)))
-            self.traffic.note("connect", self.traffic.is_remote(address), CONNECT_BYTES)
+            self.traffic.record("connect", self.traffic.is_remote(address), CONNECT_BYTES)
         return link
 
     def _retire(self, address: str, link: _Link) -> None:
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -79,6 +79,6 @@
     log = RequestLog(Logger(), lambda: clock[0])
     for number in range(2000):
         clock[0] = number / 200
-        log.note("timeout", b"r", clock[0], failed=failed)
+        log.record("timeout", b"r", clock[0], failed=failed)
     assert len(written) <= MAX_FAILED_LINES_PER_S * 12
     assert sum(item["lines_left_out"] for item in written) + len(written) > 1800
