--- a/bramleycrank/observability/traffic.py
+++ b/bramleycrank/observability/traffic.py
@@ -32,7 +32,7 @@
         self._calls: Counter[str] = Counter()
         self._bytes: Counter[str] = Counter()
 
-    def note_call(self, purpose: str, address: str, size: int) -> None:
+    def record_call(self, purpose: str, address: str, size: int) -> None:
         """Count a call to another VM with the size of request and response in bytes."""
         self.record(purpose, self.is_remote(address), size + CALL_BYTES)
 
--- a/bramleycrank/transport/peer_client.py
+++ b/bramleycrank/transport/peer_client.py
@@ -134,7 +134,7 @@
             raise
         finally:
             link.in_flight -= 1
-            self.traffic.note_call(purpose or PURPOSES.get(method, "other"), address, size)
+            self.traffic.record_call(purpose or PURPOSES.get(method, "other"), address, size)
             self._close_if_unused(link)
 
     def _link(self, address: str) -> _Link:
