--- a/bramleycrank/cli/errors.py
+++ b/bramleycrank/cli/errors.py
@@ -7,7 +7,7 @@
 from bramleycrank.exceptions import BramleycrankError, InternalError, error_types
 
 
-def rows() -> list[tuple[int, str, int, int, str]]:
+def error_rows() -> list[tuple[int, str, int, int, str]]:
     """Return code, name, HTTP status, exit code and meaning of each error type."""
     types = [InternalError if t is BramleycrankError else t for t in error_types().values()]
     return sorted(
@@ -22,7 +22,7 @@
     async def run() -> None:
         headers = ("CODE", "NAME", "HTTP", "EXIT", "MEANING")
         keys = ("code", "name", "http_status", "exit_code", "meaning")
-        data = {"errors": [dict(zip(keys, row, strict=True)) for row in rows()]}
-        context.show(data, table(headers, rows()))
+        data = {"errors": [dict(zip(keys, row, strict=True)) for row in error_rows()]}
+        context.show(data, table(headers, error_rows()))
 
     return DeferredCommand(run)
--- a/scripts/pages.py
+++ b/scripts/pages.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from bramleycrank.cli.errors import rows
+from bramleycrank.cli.errors import error_rows
 from bramleycrank.observability.metric_names import render as metrics_table
 from bramleycrank.settings import Settings
 from bramleycrank.settings.options import Option
@@ -82,7 +82,7 @@
 
 def errors_page() -> str:
     """Return docs/errors.md."""
-    lines = [f"| {' | '.join(map(str, row))} |" for row in rows()]
+    lines = [f"| {' | '.join(map(str, row))} |" for row in error_rows()]
     head = ["| code | name | HTTP status | exit code | meaning |", "|---|---|---|---|---|"]
     return "\n".join([ERRORS_INTRO, *head, *lines, ""])
 
