--- a/bramleycrank/cli/context.py
+++ b/bramleycrank/cli/context.py
@@ -120,7 +120,7 @@
     address = Address.parse(text)
     if address is None:
         raise invalid_argument(
-            f"{option}: {text!r} is not an IP number and a port, such as {DEFAULT_SERVER}"
+            f"{option}: {text!r} is not an IP address and a port, such as {DEFAULT_SERVER}"
         )
     return address
 
--- a/bramleycrank/observability/logs.py
+++ b/bramleycrank/observability/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON, one object a line on standard error."""
+"""Logs as JSON, one object per line on standard error."""
 
 from __future__ import annotations
 
--- a/bramleycrank/observability/traffic.py
+++ b/bramleycrank/observability/traffic.py
@@ -18,7 +18,7 @@
 
 
 class Traffic:
-    """Counts calls to other VMs and targets at the caller's side.
+    """Counts the calls that this VM makes to other VMs and targets.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
         self.record(purpose, self.is_remote(address), size + CALL_BYTES)
 
     def record(self, purpose: str, remote: bool, size: int, *, calls: int = 1) -> None:
-        """Count bytes on the wire.
+        """Count calls and their bytes on the wire.
 
         Parameters
         ----------
--- a/bramleycrank/settings/address.py
+++ b/bramleycrank/settings/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as they appear in settings."""
+"""Network addresses in settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(order=True)
 class Address:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Parameters
     ----------
--- a/bramleycrank/settings/model.py
+++ b/bramleycrank/settings/model.py
@@ -161,13 +161,13 @@
         Number(0.5, 600),
         default=6.0,
         unit="s",
-        meaning="Time after the leader's last confirmation in which a VM counts as current.",
+        meaning="Time after the leader's last confirmation in which a revision counts as current.",
     )
     start_wait_s: float = option(
         Number(0, 600),
         default=10.0,
         unit="s",
-        meaning="Longest wait of a starting VM for a revision that a leader confirmed.",
+        meaning="Longest wait of a starting VM for a revision confirmed by a leader.",
     )
 
 
@@ -226,7 +226,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoggingSettings:
-    """Logs on standard error, one JSON object a line."""
+    """Logs on standard error, one JSON object per line."""
 
     level: str = option(
         Choice(("debug", "info", "warning", "error")),
--- a/bramleycrank/settings/options.py
+++ b/bramleycrank/settings/options.py
@@ -1,4 +1,4 @@
-"""Declaration of typed options: a value kind with its allowed range, a unit and a meaning."""
+"""Declaration of typed options: a type with its allowed range, a unit and a meaning."""
 
 from __future__ import annotations
 
@@ -141,16 +141,16 @@
 
 
 @attrs.frozen
-class IpNumber:
-    """An IPv4 or IPv6 number."""
+class IpAddress:
+    """An IPv4 or IPv6 address."""
 
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return 'an IP number, such as "127.0.0.1"'
+        return 'an IP address, such as "127.0.0.1"'
 
     def parse(self, value: object) -> Any:
-        """Return the number as text, or ``INVALID``."""
+        """Return the address as text, or ``INVALID``."""
         try:
             return str(ipaddress.ip_address(value)) if isinstance(value, str) else INVALID
         except ValueError:
@@ -164,7 +164,7 @@
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return 'an IP number and a port from 1 to 65535, such as "127.0.0.1:7070"'
+        return 'an IP address and a port from 1 to 65535, such as "127.0.0.1:7070"'
 
     def parse(self, value: object) -> Any:
         """Return the `Address`, or ``INVALID``."""
@@ -174,7 +174,7 @@
 
 @attrs.frozen
 class ListOf:
-    """A list of distinct values of one kind."""
+    """A list of distinct values of one type."""
 
     kind: Kind
     minimum: int = 0
--- a/bramleycrank/standin/__init__.py
+++ b/bramleycrank/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in target: a test double of a user's back end, with faults that can be switched on."""
+"""Stand-in target: a test double of a back end, with faults that can be injected."""
--- a/bramleycrank/standin/main.py
+++ b/bramleycrank/standin/main.py
@@ -89,7 +89,7 @@
     version : int
         Initial index version.
     host : str
-        IP number of all listeners.
+        IP address of all listeners.
     first_port : int
         Port of the first target; 0: free ports.
     control_port : int
--- a/bramleycrank/standin/settings.py
+++ b/bramleycrank/standin/settings.py
@@ -15,7 +15,7 @@
 from bramleycrank.settings.options import (
     HostPort,
     Integer,
-    IpNumber,
+    IpAddress,
     ListOf,
     Name,
     Number,
@@ -58,7 +58,7 @@
 class ListenSettings:
     """Addresses of the targets and the control service."""
 
-    host: str = option(IpNumber(), default="127.0.0.1", meaning="IP number of all listeners.")
+    host: str = option(IpAddress(), default="127.0.0.1", meaning="IP address of all listeners.")
     first_port: int = option(
         Integer(0, 65_535),
         default=0,
--- a/tests/cli_fakes.py
+++ b/tests/cli_fakes.py
@@ -37,7 +37,7 @@
 
 
 class FakeOperator(OperatorBase):
-    """Keeps services and records all requests."""
+    """Stores services and records all requests."""
 
     def __init__(self):
         self.services = {}
@@ -46,7 +46,7 @@
         self.answers = {}
         self.lagging_calls = 0
 
-    def _record(self, request):
+    def _record_request(self, request):
         self.requests.append(request)
 
     @unary
@@ -66,7 +66,7 @@
     @unary
     async def ApplyChange(self, request):  # noqa: N802
         """Apply a change once for each change id, if the version is the expected one."""
-        self._record(request)
+        self._record_request(request)
         change = request.change
         if change.change_id not in self.answers:
             self.answers[change.change_id] = self._apply(change)
@@ -89,13 +89,13 @@
     async def Status(self, request):  # noqa: N802
         """Return two VMs that lag for some calls and one that is unreachable."""
         self.lagging_calls -= 1
-        behind = self.lagging_calls >= 0
+        lagging = self.lagging_calls >= 0
         return operator_pb2.StatusReply(
             leader_revision=self.revision,
             leader_vm="vm1",
             vms=[
                 vm_status("vm1", self.revision),
-                vm_status("vm2", self.revision - behind, current=not behind),
+                vm_status("vm2", self.revision - lagging, current=not lagging),
                 vm_status("vm3", 0, reachable=False),
             ],
             membership=MEMBERSHIP,
@@ -104,7 +104,7 @@
     @unary
     async def ListTargets(self, request):  # noqa: N802
         """Return one target."""
-        self._record(request)
+        self._record_request(request)
         snapshot = target_pb2.Snapshot(version=3, shard_count=10)
         record = target_pb2.TargetRecord(
             target_id="archivio-4-0",
@@ -116,7 +116,7 @@
         return operator_pb2.ListTargetsReply(targets=[record])
 
     async def _member(self, request):
-        self._record(request)
+        self._record_request(request)
         return operator_pb2.MembershipReply(membership=MEMBERSHIP)
 
     Bootstrap = AddVoter = RemoveVoter = ReplaceVoter = unary(_member)
@@ -124,7 +124,7 @@
     @unary
     async def DrainVm(self, request):  # noqa: N802
         """Accept the drain of vm1."""
-        self._record(request)
+        self._record_request(request)
         if request.vm_id != "vm1":
             raise NotFound(f"no VM is named {request.vm_id!r}", outcome=Outcome.NOT_RUN)
         return operator_pb2.ChangeReply(revision=8)
@@ -167,7 +167,7 @@
 
 
 class HttpThread:
-    """Answers each POST with the next prepared status and JSON, and records the bodies."""
+    """Responds to each POST with the next given status and JSON, and records the bodies."""
 
     def __init__(self, *answers):
         self.bodies = bodies = []
