--- a/bramleycrank/cli/arguments.py
+++ b/bramleycrank/cli/arguments.py
@@ -45,18 +45,14 @@
     root : object
         Object whose members are the command groups and commands.
     """
-    quoted, member_owner, after_separator = [], root, False
+    quoted, group, after_separator = [], root, False
     for arg in argv:
         after_separator = after_separator or arg == "--"
-        member = (
-            getattr(member_owner, arg.replace("-", "_"), None)
-            if not callable(member_owner)
-            else None
-        )
+        member = getattr(group, arg.replace("-", "_"), None) if not callable(group) else None
         if after_separator:
             quoted.append(arg)
         elif member is not None:
-            member_owner = member
+            group = member
             quoted.append(arg)
         elif arg.startswith("-"):
             flag, equals, value = arg.partition("=")
--- a/bramleycrank/observability/metric_names.py
+++ b/bramleycrank/observability/metric_names.py
@@ -87,7 +87,7 @@
     ),
     _timing("entry.latency", "Time from the receipt of a forwarded request to its answer."),
     _counter("entry.gone", "requests", "Requests whose caller disconnected before the answer."),
-    _counter("entry.sub_requests", "sub-requests", "Sub-requests sent on connections."),
+    _counter("entry.sub_requests", "sub-requests", "Sub-requests passed to the connection pool."),
     _counter("entry.holds", "holds", "Times that a target was held back at its own request."),
     _counter(
         "entry.sub_failures",
--- a/bramleycrank/standin/settings.py
+++ b/bramleycrank/standin/settings.py
@@ -76,7 +76,7 @@
     vms: tuple[Address, ...] = option(
         ListOf(HostPort(), maximum=1000),
         default=(),
-        meaning="gRPC addresses of VMs; a target announces to one at a time.",
+        meaning="gRPC addresses of VMs; a target switches to the next one when a call fails.",
     )
     timeout_s: float = option(
         Number(0.05, 60), default=1.0, unit="s", meaning="Timeout of a call to a VM."
--- a/tests/cli_fakes.py
+++ b/tests/cli_fakes.py
@@ -43,7 +43,7 @@
         self.services = {}
         self.requests = []
         self.revision = 0
-        self.answers = {}
+        self.replies_by_change_id = {}
         self.lagging_calls = 0
 
     def _record_request(self, request):
@@ -68,9 +68,9 @@
         """Apply a change once for each change id, if the version is the expected one."""
         self._record_request(request)
         change = request.change
-        if change.change_id not in self.answers:
-            self.answers[change.change_id] = self._apply(change)
-        return self.answers[change.change_id]
+        if change.change_id not in self.replies_by_change_id:
+            self.replies_by_change_id[change.change_id] = self._apply(change)
+        return self.replies_by_change_id[change.change_id]
 
     def _apply(self, change):
         name = change.put_service.name or change.delete_service
@@ -169,9 +169,9 @@
 class HttpThread:
     """Responds to each POST with the next given status and JSON, and records the bodies."""
 
-    def __init__(self, *answers):
+    def __init__(self, *responses):
         self.bodies = bodies = []
-        remaining = list(answers)
+        remaining = list(responses)
 
         class Handler(BaseHTTPRequestHandler):
             def do_POST(self):
--- a/tests/standin_fakes.py
+++ b/tests/standin_fakes.py
@@ -24,20 +24,20 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(**sections):
+async def run_fleet(**sections):
     """Run a fleet; without settings it has one target."""
-    running = Fleet(StandInSettings.from_dict(sections))
-    await running.start()
+    started_fleet = Fleet(StandInSettings.from_dict(sections))
+    await started_fleet.start()
     try:
-        yield running
+        yield started_fleet
     finally:
-        await running.close()
+        await started_fleet.close()
 
 
 @contextlib.asynccontextmanager
-async def control(running):
+async def connect_control(started_fleet):
     """Connect to the control service of a fleet."""
-    host, _, port = running.control_address.rpartition(":")
+    host, _, port = started_fleet.control_address.rpartition(":")
     channel = Channel(host, int(port))
     try:
         yield StandInStub(channel)
@@ -80,10 +80,10 @@
         """Cancel sub-requests."""
         await self.stream.send_message(pb.SessionRequest(cancel_sub_ids=sub_ids))
 
-    async def receive(self, done, timeout_s=WAIT_LIMIT_S):
+    async def receive(self, condition, timeout_s=WAIT_LIMIT_S):
         """Read messages until the condition is true of this client."""
         async with asyncio.timeout(timeout_s):
-            while not done(self):
+            while not condition(self):
                 message = await self.stream.recv_message()
                 assert message is not None, "the target ended the session"
                 self.replies += message.replies
@@ -100,7 +100,7 @@
 
 
 @contextlib.asynccontextmanager
-async def session(target):
+async def open_session(target):
     """Open a session on a new connection."""
     channel = Channel(target.record.host, target.record.port)
     try:
@@ -147,7 +147,7 @@
         return pb.LeaveReply()
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until a condition is true."""
     async with asyncio.timeout(WAIT_LIMIT_S):
         while not condition():
--- a/tests/test_standin_announcer.py
+++ b/tests/test_standin_announcer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from standin_fakes import FakeRegistry, fleet, until
+from standin_fakes import FakeRegistry, run_fleet, wait_until
 
 from bramleycrank.proto import target_pb2 as pb
 
@@ -21,10 +21,10 @@
 
     async def body():
         first, second = await start_registries(2)
-        async with fleet(
+        async with run_fleet(
             fleet=SIX_TARGETS, registry={"vms": [first.address, second.address]}
         ) as running:
-            await until(lambda: len(first.announced) >= 9 and len(second.announced) >= 9)
+            await wait_until(lambda: len(first.announced) >= 9 and len(second.announced) >= 9)
             homes = [{r.target_id for r in registry.announced} for registry in (first, second)]
             assert homes[0] | homes[1] == set(running.targets) and not homes[0] & homes[1]
             record = first.announced[-1]
@@ -42,10 +42,10 @@
     async def body():
         first, second = await start_registries(2)
         registry = {"vms": [first.address, second.address], "timeout_s": 0.1}
-        async with fleet(registry=registry):
-            await until(lambda: len(first.announced) >= 2)
+        async with run_fleet(registry=registry):
+            await wait_until(lambda: len(first.announced) >= 2)
             first.frozen = True
-            await until(lambda: second.announced)
+            await wait_until(lambda: second.announced)
             # The higher sequence lets the record replace one that was marked as expired.
             assert second.announced[0].sequence > first.announced[-1].sequence
         for registry in (first, second):
@@ -59,8 +59,8 @@
 
     async def body():
         (registry,) = await start_registries(1)
-        async with fleet(registry={"vms": [registry.address]}) as running:
-            await until(lambda: registry.announced)
+        async with run_fleet(registry={"vms": [registry.address]}) as running:
+            await wait_until(lambda: registry.announced)
             await running.stop(timeout_s=5)
             assert registry.left == ["demo-0-0"]
             assert all(record.state != pb.TARGET_STATE_LEAVING for record in registry.announced)
@@ -75,10 +75,10 @@
     async def body():
         (registry,) = await start_registries(1)
         timing = {"warming_s": 0.3}
-        async with fleet(registry={"vms": [registry.address]}, timing=timing):
-            await until(lambda: registry.announced)
+        async with run_fleet(registry={"vms": [registry.address]}, timing=timing):
+            await wait_until(lambda: registry.announced)
             assert registry.announced[0].state == pb.TARGET_STATE_WARMING
-            await until(lambda: registry.announced[-1].state == pb.TARGET_STATE_SERVING)
+            await wait_until(lambda: registry.announced[-1].state == pb.TARGET_STATE_SERVING)
             assert registry.announced[-1].sequence > registry.announced[0].sequence
         await registry.stop()
 
@@ -90,8 +90,8 @@
 
     async def body():
         (registry,) = await start_registries(1)
-        async with fleet(registry={"vms": [registry.address]}) as running:
-            await until(lambda: registry.announced)
+        async with run_fleet(registry={"vms": [registry.address]}) as running:
+            await wait_until(lambda: registry.announced)
             (target,) = running.targets.values()
             target.resumed.clear()
             await asyncio.sleep(0.2)
@@ -99,7 +99,7 @@
             await asyncio.sleep(0.3)
             assert len(registry.announced) == count
             target.resumed.set()
-            await until(lambda: len(registry.announced) > count)
+            await wait_until(lambda: len(registry.announced) > count)
         await registry.stop()
 
     asyncio.run(body())
--- a/tests/test_standin_target.py
+++ b/tests/test_standin_target.py
@@ -5,7 +5,7 @@
 
 import pytest
 from grpclib.exceptions import GRPCError
-from standin_fakes import SNAPSHOT, control, fleet, session, until
+from standin_fakes import SNAPSHOT, connect_control, open_session, run_fleet, wait_until
 
 from bramleycrank.proto import standin_pb2
 from bramleycrank.proto import target_pb2 as pb
@@ -17,9 +17,9 @@
 
 def run(scenario, **sections):
     async def body():
-        async with fleet(**{"timing": FAST, **sections}) as running:
+        async with run_fleet(**{"timing": FAST, **sections}) as running:
             (target, *_) = running.targets.values()
-            async with session(target) as client:
+            async with open_session(target) as client:
                 await scenario(running, target, client)
 
     asyncio.run(body())
@@ -52,7 +52,7 @@
     async def scenario(running, target, client):
         newer = pb.Snapshot(version=2, shard_count=2)
         assert statuses(await client.request(snapshot=newer)) == ["SNAPSHOT_GONE"]
-        async with control(running) as stub:
+        async with connect_control(running) as stub:
             replicas = [pb.Replica(snapshot=newer, shard=1)]
             request = standin_pb2.SetReplicasRequest(target_id="demo-0-0", replicas=replicas)
             await stub.SetReplicas(request)
@@ -89,7 +89,7 @@
         assert all(reply.retry_after_ms > 0 for reply in client.replies)
         assert target.load() == pb.LoadReport(in_flight=3, queued=2, slots=3)
         await client.cancel(ids[0])
-        await until(lambda: target.load().queued == 1)
+        await wait_until(lambda: target.load().queued == 1)
         assert target.load().in_flight == 3 and target.counts.cancelled == 1
 
     run(scenario, timing=SLOW, capacity={"slots": 3, "queue_limit": 2})
@@ -115,7 +115,7 @@
         (second,) = await client.request(**work_order)
         assert [json.loads(r.payload)["run"] for r in (first, second)] == [1, 2]
         await client.request()
-        async with control(running) as stub:
+        async with connect_control(running) as stub:
             stats = (await stub.Stats(standin_pb2.StatsRequest())).targets[0]
             await stub.SetFault(standin_pb2.FaultRequest(shed_share=1))
             assert statuses(await client.request(**work_order)) == ["SHED"]
@@ -130,9 +130,9 @@
 
     async def scenario(running, target, client):
         ids = await client.send(kind="work_order", key="k", request_key="r1")
-        await until(lambda: target.effects["r1"] == 1)
+        await wait_until(lambda: target.effects["r1"] == 1)
         await client.cancel(*ids)
-        await until(lambda: target.idle)
+        await wait_until(lambda: target.idle)
         assert target.effects["r1"] == 1
 
     run(scenario, timing=SLOW)
@@ -142,10 +142,10 @@
     """Guards against slots that sub-requests of lost VMs occupy."""
 
     async def scenario(running, target, client):
-        async with session(target) as other:
+        async with open_session(target) as other:
             await other.send(5)
-            await until(lambda: target.load().queued == 4)
-        await until(lambda: target.idle)
+            await wait_until(lambda: target.load().queued == 4)
+        await wait_until(lambda: target.idle)
         assert len(target.sinks) == 1
 
     run(scenario, timing=SLOW, capacity={"slots": 1})
@@ -157,7 +157,7 @@
     async def scenario(running, target, client):
         await client.request()
         with pytest.raises(GRPCError, match="too many connections"):
-            async with session(target) as other:
+            async with open_session(target) as other:
                 await other.request()
         assert target.counts.peak_connections == 1
 
@@ -168,7 +168,7 @@
     """Guards against a fault that clears another one, or that cannot be cleared."""
 
     async def scenario(running, target, client):
-        async with control(running) as stub:
+        async with connect_control(running) as stub:
             await stub.SetFault(standin_pb2.FaultRequest(fail_share=1))
             await stub.SetFault(standin_pb2.FaultRequest(latency_ms=40))
             started = asyncio.get_running_loop().time()
@@ -223,7 +223,7 @@
         await client.ping(1)
         with pytest.raises(TimeoutError):
             await client.receive(lambda c: c.pongs, timeout_s=0.2)
-        async with session(target) as fresh:
+        async with open_session(target) as fresh:
             await fresh.ping(2)
             await fresh.receive(lambda c: c.pongs == [2])
 
@@ -235,8 +235,8 @@
 
     async def scenario(running, target, client):
         await client.send()
-        await until(lambda: target.load().in_flight == 1)
-        async with control(running) as stub:
+        await wait_until(lambda: target.load().in_flight == 1)
+        async with connect_control(running) as stub:
             await stub.Drain(standin_pb2.DrainRequest())
         await client.send()
         await client.receive(lambda c: len(c.replies) == 2)
