--- a/bramleycrank/cli/errors.py
+++ b/bramleycrank/cli/errors.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from bramleycrank.cli.context import Context, Pending
+from bramleycrank.cli.context import Context, DeferredCommand
 from bramleycrank.cli.output import table
 from bramleycrank.exceptions import BramleycrankError, InternalError, error_types
 
 
-def rows() -> list[tuple[int, str, int, int, str]]:
+def error_rows() -> list[tuple[int, str, int, int, str]]:
     """Return code, name, HTTP status, exit code and meaning of each error type."""
     types = [InternalError if t is BramleycrankError else t for t in error_types().values()]
     return sorted(
@@ -16,13 +16,13 @@
     )
 
 
-def errors(context: Context) -> Pending:
+def errors(context: Context) -> DeferredCommand:
     """Return the command that lists the error codes."""
 
     async def run() -> None:
         headers = ("CODE", "NAME", "HTTP", "EXIT", "MEANING")
         keys = ("code", "name", "http_status", "exit_code", "meaning")
-        data = {"errors": [dict(zip(keys, row, strict=True)) for row in rows()]}
-        context.show(data, table(headers, rows()))
+        data = {"errors": [dict(zip(keys, row, strict=True)) for row in error_rows()]}
+        context.show(data, table(headers, error_rows()))
 
-    return Pending(run)
+    return DeferredCommand(run)
--- a/bramleycrank/settings/options.py
+++ b/bramleycrank/settings/options.py
@@ -1,4 +1,4 @@
-"""Declaration of typed options: a value kind with its allowed range, a unit and a meaning."""
+"""Declaration of typed options: a type with its allowed range, a unit and a meaning."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Invalid(enum.Enum):
-    """Marks a value that an option does not allow."""
+    """Marker for a value that an option does not allow."""
 
     INVALID = "invalid"
 
@@ -24,7 +24,7 @@
 
 
 class Kind(Protocol):
-    """What values an option takes."""
+    """Type and allowed range of an option's values."""
 
     @property
     def allowed(self) -> str:
@@ -92,18 +92,18 @@
 
 @attrs.frozen
 class Choice:
-    """One of a few words."""
+    """One of a fixed set of words."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return "one of " + ", ".join(self.words)
+        return "one of " + ", ".join(self.choices)
 
     def parse(self, value: object) -> Any:
         """Return the word, or ``INVALID``."""
-        return value if isinstance(value, str) and value in self.words else INVALID
+        return value if isinstance(value, str) and value in self.choices else INVALID
 
 
 @attrs.frozen
@@ -128,7 +128,7 @@
 
 @attrs.frozen
 class Folder:
-    """A path of a folder, relative paths counted from the working folder."""
+    """A folder path; relative paths start at the working directory."""
 
     @property
     def allowed(self) -> str:
@@ -141,16 +141,16 @@
 
 
 @attrs.frozen
-class IpNumber:
-    """An IPv4 or IPv6 number."""
+class IpAddress:
+    """An IPv4 or IPv6 address."""
 
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return 'an IP number, such as "127.0.0.1"'
+        return 'an IP address, such as "127.0.0.1"'
 
     def parse(self, value: object) -> Any:
-        """Return the number as text, or ``INVALID``."""
+        """Return the address as text, or ``INVALID``."""
         try:
             return str(ipaddress.ip_address(value)) if isinstance(value, str) else INVALID
         except ValueError:
@@ -164,7 +164,7 @@
     @property
     def allowed(self) -> str:
         """Describe the allowed values."""
-        return 'an IP number and a port from 1 to 65535, such as "127.0.0.1:7070"'
+        return 'an IP address and a port from 1 to 65535, such as "127.0.0.1:7070"'
 
     def parse(self, value: object) -> Any:
         """Return the `Address`, or ``INVALID``."""
@@ -174,7 +174,7 @@
 
 @attrs.frozen
 class ListOf:
-    """A list of distinct values of one kind."""
+    """A list of distinct values of one type."""
 
     kind: Kind
     minimum: int = 0
@@ -202,7 +202,7 @@
     Parameters
     ----------
     kind : Kind
-        Allowed values.
+        Type and allowed values.
     unit : str
         Unit of the value, empty if it has none.
     meaning : str
--- a/bramleycrank/transport/http1/client.py
+++ b/bramleycrank/transport/http1/client.py
@@ -256,7 +256,7 @@
         )
 
     def _reject_response(self, reason: str, bound: int) -> None:
-        _rejection_log.note(
+        _rejection_log.record(
             reason,
             b"",
             time.monotonic(),
--- a/bramleycrank/transport/peer_client.py
+++ b/bramleycrank/transport/peer_client.py
@@ -134,7 +134,7 @@
             raise
         finally:
             link.in_flight -= 1
-            self.traffic.note_call(purpose or PURPOSES.get(method, "other"), address, size)
+            self.traffic.record_call(purpose or PURPOSES.get(method, "other"), address, size)
             self._close_if_retired_and_idle(link)
 
     def _link(self, address: str) -> _Link:
@@ -143,7 +143,7 @@
             host, _, port = address.rpartition(":")
             # IPv6 addresses have brackets in ``host:port``, but not in a socket call.
             link = self._links[address] = _Link(Channel(host.strip("[]"), int(port)))
-            self.traffic.note("connect", self.traffic.is_remote(address), CONNECT_BYTES)
+            self.traffic.record("connect", self.traffic.is_remote(address), CONNECT_BYTES)
         return link
 
     def _retire(self, address: str, link: _Link) -> None:
--- a/tests/cli_fakes.py
+++ b/tests/cli_fakes.py
@@ -1,4 +1,4 @@
-"""A fake operators' service and a fake HTTP interface for the tests of the command line."""
+"""Fake operator service and fake HTTP server for the tests of the command line."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class FakeOperator(OperatorBase):
-    """Keeps services and records all requests."""
+    """Stores services and records all requests."""
 
     def __init__(self):
         self.services = {}
         self.requests = []
         self.revision = 0
-        self.answers = {}
+        self.replies_by_change_id = {}
         self.lagging_calls = 0
 
-    def _record(self, request):
+    def _record_request(self, request):
         self.requests.append(request)
 
     @unary
@@ -66,11 +66,11 @@
     @unary
     async def ApplyChange(self, request):  # noqa: N802
         """Apply a change once for each change id, if the version is the expected one."""
-        self._record(request)
+        self._record_request(request)
         change = request.change
-        if change.change_id not in self.answers:
-            self.answers[change.change_id] = self._apply(change)
-        return self.answers[change.change_id]
+        if change.change_id not in self.replies_by_change_id:
+            self.replies_by_change_id[change.change_id] = self._apply(change)
+        return self.replies_by_change_id[change.change_id]
 
     def _apply(self, change):
         name = change.put_service.name or change.delete_service
@@ -89,13 +89,13 @@
     async def Status(self, request):  # noqa: N802
         """Return two VMs that lag for some calls and one that is unreachable."""
         self.lagging_calls -= 1
-        behind = self.lagging_calls >= 0
+        lagging = self.lagging_calls >= 0
         return operator_pb2.StatusReply(
             leader_revision=self.revision,
             leader_vm="vm1",
             vms=[
                 vm_status("vm1", self.revision),
-                vm_status("vm2", self.revision - behind, current=not behind),
+                vm_status("vm2", self.revision - lagging, current=not lagging),
                 vm_status("vm3", 0, reachable=False),
             ],
             membership=MEMBERSHIP,
@@ -104,7 +104,7 @@
     @unary
     async def ListTargets(self, request):  # noqa: N802
         """Return one target."""
-        self._record(request)
+        self._record_request(request)
         snapshot = target_pb2.Snapshot(version=3, shard_count=10)
         record = target_pb2.TargetRecord(
             target_id="archivio-4-0",
@@ -116,7 +116,7 @@
         return operator_pb2.ListTargetsReply(targets=[record])
 
     async def _member(self, request):
-        self._record(request)
+        self._record_request(request)
         return operator_pb2.MembershipReply(membership=MEMBERSHIP)
 
     Bootstrap = AddVoter = RemoveVoter = ReplaceVoter = unary(_member)
@@ -124,7 +124,7 @@
     @unary
     async def DrainVm(self, request):  # noqa: N802
         """Accept the drain of vm1."""
-        self._record(request)
+        self._record_request(request)
         if request.vm_id != "vm1":
             raise NotFound(f"no VM is named {request.vm_id!r}", outcome=Outcome.NOT_RUN)
         return operator_pb2.ChangeReply(revision=8)
@@ -136,7 +136,7 @@
 
 
 class OperatorThread:
-    """Serves a fake operators' service on a thread of its own."""
+    """Runs a fake operator service on a separate thread."""
 
     def __init__(self, service):
         self._service = service
@@ -167,11 +167,11 @@
 
 
 class HttpThread:
-    """Answers each POST with the next prepared status and JSON, and records the bodies."""
+    """Responds to each POST with the next given status and JSON, and records the bodies."""
 
-    def __init__(self, *answers):
+    def __init__(self, *responses):
         self.bodies = bodies = []
-        remaining = list(answers)
+        remaining = list(responses)
 
         class Handler(BaseHTTPRequestHandler):
             def do_POST(self):
