--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Starts daemons and stand-in targets as child processes, for tests and measurements."""
+"""Runs daemons and targets as child processes, for tests and benchmarks."""
--- a/harness/partitioned.py
+++ b/harness/partitioned.py
@@ -1,9 +1,10 @@
-"""Runs a program of the project so that signals cut it off from some addresses.
+"""Runs a program of the project with network partitions that signals start and end.
 
-``python -m harness.partitioned MODULE ARGUMENTS`` calls ``MODULE.main``. SIGUSR1 cuts the links to
-the addresses in the file that BRAMLEYCRANK_CUT names: open connections go silent and new ones do
-not complete, as behind a firewall that drops packets. SIGUSR2 heals the links. Both ends of a link
-have to be cut. Only the connections' byte flow changes, nothing in the program.
+``python -m harness.partitioned MODULE ARGUMENTS`` calls ``MODULE.main``. SIGUSR1 blocks the links
+to the addresses in the file that BRAMLEYCRANK_CUT names: no data passes on open connections, and
+new connections do not complete, as behind a firewall that drops packets. SIGUSR2 ends the
+partition. The processes at both ends of a link have to block it. The program's own code is not
+changed.
 """
 
 from __future__ import annotations
@@ -15,51 +16,51 @@
 import sys
 from pathlib import Path
 
-CUT_FILE = Path(os.environ.get("BRAMLEYCRANK_CUT", os.devnull))
+PARTITION_FILE = Path(os.environ.get("BRAMLEYCRANK_CUT", os.devnull))
 
-_cut_addresses: set[tuple[str, int]] = set()
+_blocked_addresses: set[tuple[str, int]] = set()
 _transports: dict[asyncio.Transport, tuple[str, int]] = {}
 _create_connection = asyncio.base_events.BaseEventLoop.create_connection
 
 
-def _silence(transport: asyncio.Transport) -> None:
+def _block_transport(transport: asyncio.Transport) -> None:
     transport.pause_reading()
     transport.write = lambda data: None
     transport.writelines = lambda chunks: None
 
 
-def _cut(_number: int, _frame: object) -> None:
-    for line in CUT_FILE.read_text().split():
+def _start_partition(_signal_number: int, _frame: object) -> None:
+    for line in PARTITION_FILE.read_text().split():
         host, _, port = line.rpartition(":")
-        _cut_addresses.add((host, int(port)))
+        _blocked_addresses.add((host, int(port)))
     for transport, address in list(_transports.items()):
-        if address in _cut_addresses and not transport.is_closing():
-            _silence(transport)
+        if address in _blocked_addresses and not transport.is_closing():
+            _block_transport(transport)
 
 
-def _heal(_number: int, _frame: object) -> None:
+def _end_partition(_signal_number: int, _frame: object) -> None:
     for transport, address in list(_transports.items()):
-        if address in _cut_addresses:
+        if address in _blocked_addresses:
             transport.abort()
             del _transports[transport]
-    _cut_addresses.clear()
+    _blocked_addresses.clear()
 
 
-async def _connect(self, factory, host=None, port=None, **options):
-    while (host, port) in _cut_addresses:
+async def _create_connection_when_reachable(self, factory, host=None, port=None, **options):
+    while (host, port) in _blocked_addresses:
         await asyncio.sleep(0.1)
     transport, protocol = await _create_connection(self, factory, host, port, **options)
-    for known in [t for t in _transports if t.is_closing()]:
-        del _transports[known]
+    for closing in [t for t in _transports if t.is_closing()]:
+        del _transports[closing]
     _transports[transport] = (host, port)
     return transport, protocol
 
 
 def main() -> None:
-    """Install the hooks and run the program."""
-    asyncio.base_events.BaseEventLoop.create_connection = _connect
-    signal.signal(signal.SIGUSR1, _cut)
-    signal.signal(signal.SIGUSR2, _heal)
+    """Install the connection hook and the signal handlers, then run the program."""
+    asyncio.base_events.BaseEventLoop.create_connection = _create_connection_when_reachable
+    signal.signal(signal.SIGUSR1, _start_partition)
+    signal.signal(signal.SIGUSR2, _end_partition)
     module = importlib.import_module(sys.argv[1])
     sys.argv = sys.argv[1:]
     module.main()
--- a/harness/platform_fleet.py
+++ b/harness/platform_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes as the platform runs them, each at a loopback address of its own."""
+"""Runs a fleet of platform processes, each at its own loopback address."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from harness.processes import Process, until
 
-NODE = """\
+SETTINGS_TEMPLATE = """\
 NodeName={name}
 Ip={ip}
 Zone={zone}
@@ -30,7 +30,7 @@
 
 
 class Machine:
-    """One machine at a loopback address of its own."""
+    """A VM of the platform at its own loopback address."""
 
     def __init__(self, fleet: Fleet, name: str, ip: str, zone: str, voter: bool) -> None:
         self.fleet, self.name, self.ip, self.zone, self.voter = fleet, name, ip, zone, voter
@@ -39,7 +39,7 @@
 
     @property
     def settings(self) -> Path:
-        """The settings file."""
+        """Path of the settings file."""
         return self.fleet.folder / f"{self.name}.conf"
 
     def write_settings(self, seeds: list[str], *, bootstrap: bool = False) -> None:
@@ -52,7 +52,7 @@
                 f"BindAddrs.ReadinessAddr={self.ip}:{READY_PORT}"
             )
         self.settings.write_text(
-            NODE.format(
+            SETTINGS_TEMPLATE.format(
                 name=self.name,
                 ip=self.ip,
                 zone=self.zone,
@@ -63,7 +63,7 @@
         )
 
     def start(self, *, bootstrap: bool = False, seeds: list[str] | None = None) -> None:
-        """Start the process of the machine."""
+        """Write the settings file and start the process."""
         self.write_settings(seeds or self.fleet.seeds, bootstrap=bootstrap)
         self.process = Process(
             [sys.executable, "-m", "bramleycrank.platform"],
@@ -75,42 +75,42 @@
 
 
 class Fleet:
-    """Three machines for control and some for callers, in three zones.
+    """Three voters and some entry VMs, in three zones.
 
     Parameters
     ----------
     folder : Path
-        Where settings, data and logs are kept.
+        Folder for settings, data and logs.
     entries : int, optional
-        Number of machines for callers.
+        Number of entry VMs.
     """
 
     def __init__(self, folder: Path, entries: int = 2) -> None:
         self.folder = folder
         self.processes: list[Process] = []
-        net = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
-        self.seeds = [f"{net}.{number}" for number in (11, 12, 13)]
-        self.unused_ip = f"{net}.99"
+        ip_prefix = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250}"
+        self.seeds = [f"{ip_prefix}.{number}" for number in (11, 12, 13)]
+        self.unused_ip = f"{ip_prefix}.99"
         zones = "xyz"
         self.voters = [
             Machine(self, f"core-{zone}", ip, zone, True)
             for zone, ip in zip(zones, self.seeds, strict=True)
         ]
         self.entries = [
-            Machine(self, f"edge-{zone}", f"{net}.{21 + n}", zone, False)
+            Machine(self, f"edge-{zone}", f"{ip_prefix}.{21 + n}", zone, False)
             for n, zone in enumerate(zones[:entries])
         ]
 
     async def send(self, method: str, path: str, body: object, ip: str, port: int) -> bytes:
-        """Return the response to one call, or b"" if there is none."""
+        """Send one HTTP request and return the raw response, or b"" if there is none."""
         data = json.dumps(body).encode() if body is not None else b""
-        raw = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n"
-        raw += f"Content-Length: {len(data)}\r\nConnection: close\r\n\r\n"
+        request = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n"
+        request += f"Content-Length: {len(data)}\r\nConnection: close\r\n\r\n"
         reader, writer = None, None
         try:
             async with asyncio.timeout(4):
                 reader, writer = await asyncio.open_connection(ip, port)
-                writer.write(raw.encode() + data)
+                writer.write(request.encode() + data)
                 return await reader.read()
         except (OSError, TimeoutError):
             return b""
@@ -125,9 +125,9 @@
         address: str,
         sequence: int,
         zone: str = "x",
-        born: int = 1,
+        incarnation: int = 1,
     ) -> None:
-        """Send a liveness report of a target to a voter, to each in turn."""
+        """Send a liveness report of a target to one voter; the sequence number selects it."""
         body = {
             "Service": service,
             "Address": address,
@@ -135,25 +135,25 @@
             "Slots": 4,
             "State": "ready",
             "Sequence": sequence,
-            "born": born,
+            "born": incarnation,
         }
         voter = self.voters[sequence % len(self.voters)]
         await self.send("PUT", f"/-/instances/{target_id}", body, voter.ip, CONTROL_PORT)
 
     async def put(self, document: dict) -> None:
-        """Send a configuration to any voter until it is accepted."""
+        """Send a configuration to all voters until one of them accepts it."""
 
-        async def accepted() -> bool:
+        async def is_accepted() -> bool:
             replies = [
                 await self.send("PUT", "/-/config", document, voter.ip, CONTROL_PORT)
                 for voter in self.voters
             ]
             return any(b" 200 " in reply[:20] for reply in replies)
 
-        await until(accepted, "a configuration is accepted", 20)
+        await until(is_accepted, "a configuration is accepted", 20)
 
     async def read(self, voter: Machine) -> dict:
-        """Return the configuration that a voter says is the newest; empty if it is not sure."""
+        """Return the newest configuration that a voter confirms; empty if it cannot."""
         reply = await self.send("GET", "/-/config", None, voter.ip, CONTROL_PORT)
         head, _, body = reply.partition(b"\r\n\r\n")
         return json.loads(body) if b" 200 " in head[:20] else {}
--- a/harness/processes.py
+++ b/harness/processes.py
@@ -1,4 +1,4 @@
-"""Child processes, free ports and bounded waits."""
+"""Provides child processes, free ports and waits with a time limit."""
 
 from __future__ import annotations
 
@@ -18,51 +18,61 @@
 
 HOST = "127.0.0.1"
 
-# Longest wait for a condition on a busy machine, in seconds.
+# Long enough for a heavily loaded machine.
 WAIT_LIMIT_S = 15.0
 
 
-_given_ports: set[int] = set()
+_issued_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a free port below the range that the kernel hands out for connections.
+    """Return a free port below the range of the kernel's ephemeral ports.
 
-    A port is given only once: it stays free until its daemon listens, and with 36 daemons the
-    same number was drawn twice in one of 30 fleets.
+    No port is returned twice: it stays free until its daemon listens, and fleets of 36 daemons
+    had a duplicate port in one of 30 runs.
     """
     while True:
         port = random.SystemRandom().randrange(10_000, 30_000)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind((HOST, port))
-            if port not in _given_ports:
-                _given_ports.add(port)
+            if port not in _issued_ports:
+                _issued_ports.add(port)
                 return port
 
 
 async def until(
-    condition: Callable[[], Any], what: str, timeout_s: float = WAIT_LIMIT_S, pause_s: float = 0.03
+    condition: Callable[[], Any],
+    description: str,
+    timeout_s: float = WAIT_LIMIT_S,
+    poll_interval_s: float = 0.03,
 ) -> Any:
-    """Return the first true value of a condition, which may be a coroutine function.
+    """Poll a condition, which may be a coroutine function, and return its first true value.
 
-    A `BramleycrankError` or `OSError` counts as not yet true and appears in the failure.
+    A `BramleycrankError` or `OSError` counts as not yet true and appears in the failure message.
+
+    Raises
+    ------
+    AssertionError
+        The condition did not become true within the time limit.
     """
     deadline = time.monotonic() + timeout_s
-    last: object = None
+    last_result: object = None
     while time.monotonic() < deadline:
         try:
             value = condition()
-            last = await value if isinstance(value, Awaitable) else value
-            if last:
-                return last
+            last_result = await value if isinstance(value, Awaitable) else value
+            if last_result:
+                return last_result
         except (BramleycrankError, OSError) as exc:
-            last = exc
-        await asyncio.sleep(pause_s)
-    raise AssertionError(f"not within {timeout_s} s: {what}; last: {last!r}")
+            last_result = exc
+        await asyncio.sleep(poll_interval_s)
+    raise AssertionError(
+        f"timed out after {timeout_s} s waiting until {description}; last result: {last_result!r}"
+    )
 
 
 class Process:
-    """A child process with its output in a file."""
+    """A child process whose standard error, and optionally output, goes to a file."""
 
     def __init__(
         self,
@@ -87,7 +97,7 @@
         return self._popen.pid
 
     def read_line(self) -> bytes:
-        """Return one line of standard output."""
+        """Read one line of standard output; this blocks."""
         return self._popen.stdout.readline()
 
     @property
@@ -101,12 +111,12 @@
             os.kill(self._popen.pid, number)
 
     def reap(self) -> None:
-        """End the process at once and collect it."""
+        """Kill the process, wait for its end and close its output."""
         self.signal(signal.SIGKILL)
         self._popen.wait(10)
         if self._popen.stdout is not None:
             self._popen.stdout.close()
 
     def log_tail(self, lines: int = 15) -> str:
-        """Return the end of the log."""
+        """Return the last lines of standard error."""
         return "\n".join(self._log.read_text(errors="replace").splitlines()[-lines:])
--- a/harness/relay.py
+++ b/harness/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can cut, freeze or delay what it passes on."""
+"""A TCP relay that can refuse, freeze, reset or delay connections."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from harness.processes import HOST
 
 CHUNK_BYTES = 65536
-"""Most bytes passed on at once."""
+"""Maximum size of one read."""
 
 
 class Relay:
-    """Forwards connections to one address.
+    """Forwards connections to the address of one server.
 
     Parameters
     ----------
     host, port
-        Where to forward to.
+        Address of the server.
     """
 
     def __init__(self, host: str, port: int) -> None:
-        self._target = (host, port)
+        self._server_address = (host, port)
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
-        self._flowing = asyncio.Event()
-        self._flowing.set()
-        self._cut = False
+        self._not_frozen = asyncio.Event()
+        self._not_frozen.set()
+        self._refusing = False
         self.delay_s = 0.0
 
     async def start(self) -> str:
@@ -36,64 +36,64 @@
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def cut(self) -> None:
-        """End all connections and refuse new ones."""
-        self._cut = True
+        """Abort all connections, and new ones as soon as they are accepted."""
+        self._refusing = True
         self.reset()
 
     def reset(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for writer in self._writers:
             writer.transport.abort()
 
     def freeze(self) -> None:
-        """Keep connections open and forward nothing, as after a silent loss of the network."""
-        self._flowing.clear()
+        """Keep connections open and forward nothing, as a network that drops all packets."""
+        self._not_frozen.clear()
 
     def heal(self) -> None:
-        """Forward again."""
-        self._cut = False
-        self._flowing.set()
+        """Accept connections and forward data again."""
+        self._refusing = False
+        self._not_frozen.set()
 
     async def close(self) -> None:
-        """End the relay and its connections."""
+        """Stop listening and abort all connections."""
         self._server.close()
         self.heal()
         self.cut()
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=1.0)
 
-    async def _accept(self, reader, writer) -> None:
+    async def _accept(self, client_reader, client_writer) -> None:
         task = asyncio.current_task()
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        if self._cut:
-            writer.transport.abort()
+        if self._refusing:
+            client_writer.transport.abort()
             return
-        self._writers.add(writer)
+        self._writers.add(client_writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            server_reader, server_writer = await asyncio.open_connection(*self._server_address)
         except OSError:
-            writer.transport.abort()
+            client_writer.transport.abort()
             return
-        self._writers.add(far_writer)
-        pumps = [
-            asyncio.ensure_future(self._pump(reader, far_writer, answers=False)),
-            asyncio.ensure_future(self._pump(far_reader, writer, answers=True)),
+        self._writers.add(server_writer)
+        forward_tasks = [
+            asyncio.ensure_future(self._forward(client_reader, server_writer, from_server=False)),
+            asyncio.ensure_future(self._forward(server_reader, client_writer, from_server=True)),
         ]
-        await asyncio.wait(pumps)
-        self._writers -= {writer, far_writer}
+        await asyncio.wait(forward_tasks)
+        self._writers -= {client_writer, server_writer}
 
-    def _drops(self, *, answers: bool) -> bool:
-        """Whether bytes of the near side, or of the far one that answers, are lost."""
+    def _drops(self, *, from_server: bool) -> bool:
+        """Return whether data of this direction is dropped instead of forwarded."""
         return False
 
-    async def _pump(self, reader, writer, *, answers: bool) -> None:
+    async def _forward(self, reader, writer, *, from_server: bool) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                await self._flowing.wait()
+                await self._not_frozen.wait()
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                if self._drops(answers=answers):
+                if self._drops(from_server=from_server):
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy before a target, which delays, resets, cuts and silences connections."""
+"""A loopback proxy in front of a target that delays, refuses or drops its traffic."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Mode(enum.StrEnum):
-    """What the proxy does with what it should pass on."""
+    """How the proxy treats connections and their data."""
 
     PASS = "pass"
-    DELAY = "delay"  # every chunk comes later
-    REFUSE = "refuse"  # new connections are reset, open ones are cut
-    DEAF = "deaf"  # the target hears nothing, one way only
-    MUTE = "mute"  # the caller hears nothing, one way only
-    SILENT = "silent"  # nothing passes either way, and nothing is reset
+    DELAY = "delay"  # each chunk is forwarded after a delay
+    REFUSE = "refuse"  # open and new connections are reset
+    DEAF = "deaf"  # requests to the target are dropped
+    MUTE = "mute"  # responses of the target are dropped
+    SILENT = "silent"  # both directions are dropped; connections stay open
 
 
 class Proxy(Relay):
-    """Passes connections on to a port of this machine.
+    """Forwards connections to a port of this host.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
         self._mode = Mode.PASS
 
     def set(self, mode: Mode, delay_s: float = 0.0) -> None:
-        """Change the mode; open connections are cut where new ones are reset."""
+        """Change the mode; `Mode.REFUSE` also resets the open connections."""
         self._mode = mode
         self.delay_s = delay_s if mode is Mode.DELAY else 0.0
         if mode is Mode.REFUSE:
@@ -41,5 +41,5 @@
         else:
             self.heal()
 
-    def _drops(self, *, answers: bool) -> bool:
-        return self._mode in (Mode.SILENT, Mode.MUTE if answers else Mode.DEAF)
+    def _drops(self, *, from_server: bool) -> bool:
+        return self._mode in (Mode.SILENT, Mode.MUTE if from_server else Mode.DEAF)
