--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real processes under randomized faults, with the promises checked meanwhile."""
+"""Runs real processes under random faults and checks the guarantees of the product."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,21 +12,23 @@
 
 from soak.run import play
 
-SECONDS = 12.0
-"""How long faults begin in one run, in seconds."""
+FAULT_PERIOD_S = 12.0
+"""Time during which new faults start in one run."""
 
 
-def main(seed: int | None = None, seeds: int = 1, seconds: float = SECONDS, out: str = "") -> None:
-    """Play seeds one after the other; exit with 1 if a promise was broken.
+def main(
+    seed: int | None = None, seeds: int = 1, seconds: float = FAULT_PERIOD_S, out: str = ""
+) -> None:
+    """Run seeds one after the other; exit with 1 if a guarantee was violated.
 
     Parameters
     ----------
     seed : int, optional
-        First seed; a fresh one by default.
+        First seed; random by default.
     seeds : int, optional
-        How many to play.
+        Number of seeds to run.
     seconds : float, optional
-        How long faults begin in each, in seconds.
+        Time during which new faults start in each run, in seconds.
     out : str, optional
         Folder for logs and reports; a temporary one by default.
     """
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: a steady load over kept and new connections, and what became of it."""
+"""Callers of the soak: a steady load over persistent and new connections."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from harness.platform_fleet import ENTRY_PORT, Machine
 
-WAIT_S = 2.5
-"""How long a caller waits for an answer, in seconds."""
+DEADLINE_S = 2.5
+"""Deadline of a request; a caller waits no longer for the answer."""
 
-PAUSE_S = 0.05
-"""Mean time between an answer and the next request of a caller, in seconds."""
+MEAN_THINK_TIME_S = 0.05
+"""Mean time between an answer and the next request of a caller."""
 
 
 @attrs.define
 class Outcome:
-    """One request as its caller saw it.
+    """The result of one request, as its caller observed it.
 
     Parameters
     ----------
     status : int
         HTTP status; 0 if there was no connection, -1 if the connection ended without an answer,
-        -2 if the caller's time was over.
+        -2 if the deadline passed.
     """
 
     request_id: str
@@ -39,18 +39,18 @@
 
 
 class Caller:
-    """Sends one request after the other to one entry.
+    """Sends requests to one entry VM, one at a time.
 
     Parameters
     ----------
     name : str
         Prefix of its request ids.
     entry : Machine
-        Where it connects.
+        The entry VM to which it connects.
     outcomes : list of Outcome
-        Receives what became of each request.
+        List to which the result of each request is appended.
     rng : random.Random
-        Source of choices.
+        Random numbers for paths and times.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
                 number += 1
                 path = self._rng.choices(("/all/q", "/one/q", "/order/q"), (6, 2, 2))[0]
                 self._outcomes.append(await self._request(f"{self._name}-{number}", path))
-                await asyncio.sleep(self._rng.expovariate(1 / PAUSE_S))
+                await asyncio.sleep(self._rng.expovariate(1 / MEAN_THINK_TIME_S))
         finally:
             self._close()
 
@@ -79,15 +79,15 @@
         loop = asyncio.get_running_loop()
         outcome = Outcome(request_id, path, self._entry.name, loop.time(), 0.0, 0, {}, b"")
         method = "POST" if path.startswith("/order") else "GET"
-        raw = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\n"
-        raw += f"X-Deadline-Ms: {int(WAIT_S * 1000)}\r\nContent-Length: 0\r\n\r\n"
+        request = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\n"
+        request += f"X-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\nContent-Length: 0\r\n\r\n"
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(DEADLINE_S):
                 if self._writer is None:
                     address = self._entry.ip, ENTRY_PORT
                     self._reader, self._writer = await asyncio.open_connection(*address)
                 outcome.status = -1
-                self._writer.write(raw.encode())
+                self._writer.write(request.encode())
                 await self._read(outcome)
         except TimeoutError:
             outcome.status = -2
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises of the product, checked on what callers and targets saw."""
+"""Checks the guarantees of the product on the observations of callers and targets."""
 
 from __future__ import annotations
 
@@ -17,125 +17,134 @@
 SINGLE = "single"
 MIN_COVERAGE = 0.75
 MAX_ATTEMPTS = 2
-WINDOW_S, RATIO, SLACK = 10.0, 0.2, 50
-"""Bounds of the extra sub-requests that `harness.platform_fleet` gives to the processes."""
+RETRY_WINDOW_S, RETRY_BUDGET_RATIO, RETRY_SLACK = 10.0, 0.2, 50
+"""Bounds of extra sub-requests in the settings that `harness.platform_fleet` writes."""
 
 LOSS_SLACK_S = 0.2
-"""Time after which a request that was not passed on must not end without an answer."""
+"""Time after which a request may not end without an answer even if no target received it.
 
-HOLD_SLACK_S, HOLD_TRIALS = 0.5, 2
-"""Time after a refusal from which no more than some requests may come until its hold ends."""
+A connection that closes before the VM has read the request may lose it.
+"""
+
+HOLD_SLACK_S, MAX_HOLD_TRIALS = 0.5, 2
+"""From this time after a refusal, a held target may get no more than this number of requests."""
 
 DRAIN_S = 3.0
-"""Time after which a VM must have stopped asking a target that leaves; `Bounds.DrainTimeoutMs`."""
+"""Time after which a leaving target may get no more requests; `Bounds.DrainTimeoutMs`."""
 
-SHOWN = 20
-"""Violations of a kind that a report names."""
+MAX_LISTED_VIOLATIONS = 20
+"""Maximum number of violations that a report lists."""
 
 
 @attrs.define
 class Evidence:
-    """What a run left behind.
+    """What a run recorded for the checks.
 
     Parameters
     ----------
-    tops : set of int
-        Numbers of records that the versions of the route asked for.
+    top_ks : set of int
+        Values of `TopK` over all versions of the route.
     """
 
     outcomes: list[Outcome]
     ledger: Ledger
     events: list[Event]
-    tops: set[int]
+    top_ks: set[int]
 
 
 def violations(evidence: Evidence) -> list[str]:
-    """Return what broke a promise, in words."""
+    """Return a description of each violated guarantee."""
     found = [
-        *_answers(evidence),
-        *_runs(evidence),
-        *_stops(evidence),
-        *_budgets(evidence),
-        *_wishes(evidence),
+        *_check_answers(evidence),
+        *_check_executions(evidence),
+        *_check_planned_stops(evidence),
+        *_check_retry_budgets(evidence),
+        *_check_holds_and_leaving(evidence),
     ]
-    return found[:SHOWN] + ([f"and {len(found) - SHOWN} more"] if len(found) > SHOWN else [])
+    return found[:MAX_LISTED_VIOLATIONS] + (
+        [f"and {len(found) - MAX_LISTED_VIOLATIONS} more"]
+        if len(found) > MAX_LISTED_VIOLATIONS
+        else []
+    )
 
 
-def _answers(evidence: Evidence) -> Iterator[str]:
+def _check_answers(evidence: Evidence) -> Iterator[str]:
     for outcome in evidence.outcomes:
         if outcome.status == 503 and evidence.ledger.runs.get(outcome.request_id):
-            yield f"{outcome.request_id}: refused as not run, but run"
+            yield f"{outcome.request_id}: refused with status 503, but a target ran it"
         if outcome.status == 200:
-            problem = _problem(outcome, evidence)
-            if problem:
-                yield f"{outcome.request_id} {outcome.path}: {problem}"
+            error = _answer_error(outcome, evidence)
+            if error:
+                yield f"{outcome.request_id} {outcome.path}: {error}"
 
 
-def _problem(outcome: Outcome, evidence: Evidence) -> str:
+def _answer_error(outcome: Outcome, evidence: Evidence) -> str:
     gather = outcome.path.startswith("/all")
     field = outcome.headers.get("x-part-stamps" if gather else "x-server-stamp", "")
     known = [evidence.ledger.receipts.get(r) for r in field.split(", ")]
     if not all(known) or any(request_id != outcome.request_id for _, request_id in known):
-        return f"a receipt of another request: {field}"
+        return f"a receipt belongs to another request: {field}"
     services = [service for service, _ in known]
     if not gather:
-        whole = records(SINGLE, outcome.request_id)
-        return "" if services == [SINGLE] and outcome.body == whole else "another body"
+        expected = records(SINGLE, outcome.request_id)
+        return "" if services == [SINGLE] and outcome.body == expected else "unexpected body"
     missing = int(outcome.headers.get("x-missing-parts", "-1"))
     if len(set(services)) != len(services) or not set(services) <= set(SHARDS):
-        return f"parts of {services}"
+        return f"unexpected or duplicate parts: {services}"
     if len(services) + missing != len(SHARDS) or len(services) < MIN_COVERAGE * len(SHARDS):
         return f"{len(services)} parts and {missing} missing"
-    whole = b"".join(records(service, outcome.request_id) for service in services)
-    every = [whole[i : i + RECORD_BYTES] for i in range(0, len(whole), RECORD_BYTES)]
-    bodies = {b"".join(heapq.nlargest(top, every)) for top in evidence.tops}
-    return "" if outcome.body in bodies else "not the greatest records of its parts"
+    expected = b"".join(records(service, outcome.request_id) for service in services)
+    all_records = [expected[i : i + RECORD_BYTES] for i in range(0, len(expected), RECORD_BYTES)]
+    bodies = {b"".join(heapq.nlargest(top, all_records)) for top in evidence.top_ks}
+    return "" if outcome.body in bodies else "the body is not the greatest records of its parts"
 
 
-def _runs(evidence: Evidence) -> Iterator[str]:
+def _check_executions(evidence: Evidence) -> Iterator[str]:
     paths = {outcome.request_id: outcome.path for outcome in evidence.outcomes}
     for request_id, runs in evidence.ledger.runs.items():
-        most = 1 if paths.get(request_id, "").startswith("/order") else MAX_ATTEMPTS
+        max_runs = 1 if paths.get(request_id, "").startswith("/order") else MAX_ATTEMPTS
         services = Counter(target_id.partition("-")[0] for target_id in runs)
         for service, count in services.items():
-            if count > most:
+            if count > max_runs:
                 yield f"{request_id}: run {count} times for {service}"
 
 
-def _stops(evidence: Evidence) -> Iterator[str]:
-    """Yield requests that a planned stop cut."""
+def _check_planned_stops(evidence: Evidence) -> Iterator[str]:
+    """Yield requests that a planned stop interrupted."""
     for event in evidence.events:
         if event.what != "stop":
             continue
         for outcome in evidence.outcomes:
-            cut = outcome.entry == event.where and outcome.status == -1
-            if not cut or not event.since <= outcome.ended <= event.until:
+            is_interrupted = outcome.entry == event.where and outcome.status == -1
+            if not is_interrupted or not event.since <= outcome.ended <= event.until:
                 continue
-            passed_on = outcome.request_id in evidence.ledger.runs
-            if passed_on or outcome.ended - outcome.sent > LOSS_SLACK_S:
-                yield f"{outcome.request_id}: cut by the stop of {event.where}"
+            is_forwarded = outcome.request_id in evidence.ledger.runs
+            if is_forwarded or outcome.ended - outcome.sent > LOSS_SLACK_S:
+                yield f"{outcome.request_id}: interrupted by the stop of {event.where}"
 
 
-def _wishes(evidence: Evidence) -> Iterator[str]:
-    """Yield requests that a target had said it does not want, by the VM to which it said so."""
+def _check_holds_and_leaving(evidence: Evidence) -> Iterator[str]:
+    """Yield targets that a VM kept asking after they sent it a hold or announced to leave."""
     ledger = evidence.ledger
     entries = {outcome.request_id: outcome.entry for outcome in evidence.outcomes}
-    for target_id, said in ledger.holds.items():
-        for at, request_id in said:
+    for target_id, signals in ledger.holds.items():
+        for at, request_id in signals:
             entry = entries.get(request_id)
-            late = _asked_again(evidence, entries, target_id, entry, at + HOLD_SLACK_S, at + HOLD_S)
-            if len(late) > HOLD_TRIALS:
-                yield f"{target_id}: {len(late)} requests while it wanted none: {late}"
-    for target_id, said in ledger.leaves.items():
-        first = {entries.get(request_id): at for at, request_id in reversed(said)}
-        for entry, at in first.items():
+            late = _requests_in_period(
+                evidence, entries, target_id, entry, at + HOLD_SLACK_S, at + HOLD_S
+            )
+            if len(late) > MAX_HOLD_TRIALS:
+                yield f"{target_id}: {len(late)} requests during its hold: {late}"
+    for target_id, signals in ledger.leaves.items():
+        first_signal = {entries.get(request_id): at for at, request_id in reversed(signals)}
+        for entry, at in first_signal.items():
             until = min((t for t in ledger.returns[target_id] if t > at), default=math.inf)
-            late = _asked_again(evidence, entries, target_id, entry, at + DRAIN_S, until)
+            late = _requests_in_period(evidence, entries, target_id, entry, at + DRAIN_S, until)
             if late:
-                yield f"{target_id}: requests after it had said that it leaves: {late}"
+                yield f"{target_id}: requests after it announced that it leaves: {late}"
 
 
-def _asked_again(
+def _requests_in_period(
     evidence: Evidence,
     entries: dict[str, str],
     target_id: str,
@@ -143,7 +152,10 @@
     since: float,
     until: float,
 ) -> list[str]:
-    """Return the requests of one VM that reached a target in some time, unless it was disturbed."""
+    """Return the requests of one VM that reached a target in a period.
+
+    The result is empty if a fault affected the VM around that period.
+    """
     disturbed = any(
         event.where == entry and (event.until or math.inf) > since - DRAIN_S and event.since < until
         for event in evidence.events
@@ -154,23 +166,24 @@
     return [other for at, other in asked if since < at < until and entries.get(other) == entry]
 
 
-def _budgets(evidence: Evidence) -> Iterator[str]:
+def _check_retry_budgets(evidence: Evidence) -> Iterator[str]:
     for service, arrivals in evidence.ledger.arrivals.items():
         single = service == SINGLE
         asked = sorted(o.sent for o in evidence.outcomes if o.path.startswith("/all") != single)
-        seen: set[str] = set()
-        extras = []
+        seen_ids: set[str] = set()
+        extra_times = []
         for at, request_id in arrivals:
-            if request_id in seen:
-                extras.append(at)
-            seen.add(request_id)
-        for end in extras:
-            extra = sum(end - WINDOW_S < at <= end for at in extras)
-            # As the users' rules count: the same window or one before it, whichever has most.
+            if request_id in seen_ids:
+                extra_times.append(at)
+            seen_ids.add(request_id)
+        for end in extra_times:
+            extra = sum(end - RETRY_WINDOW_S < at <= end for at in extra_times)
+            # The retry rules count the requests of this window or of an earlier one, whichever
+            # has more.
             requests = max(
-                sum(end - back - WINDOW_S < at <= end - back for at in asked)
-                for back in (0.0, WINDOW_S / 2, WINDOW_S)
+                sum(end - offset_s - RETRY_WINDOW_S < at <= end - offset_s for at in asked)
+                for offset_s in (0.0, RETRY_WINDOW_S / 2, RETRY_WINDOW_S)
             )
-            if extra > math.ceil(RATIO * requests) + SLACK:
+            if extra > math.ceil(RETRY_BUDGET_RATIO * requests) + RETRY_SLACK:
                 yield f"{service}: {extra} extra sub-requests for {requests} requests"
                 break
--- a/soak/report.py
+++ b/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: JSON, and a plot of what callers got with the faults marked on it."""
+"""Writes the report of a run: JSON, and a plot of request outcomes and faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from soak.faults import Event
 
 OBJECTIVE_S = 0.3
-"""Latency objective of the routes, in seconds."""
+"""Latency objective of the routes."""
 
 COLOURS = {
     "served": "tab:green",
@@ -25,7 +25,7 @@
 
 
 def kind_of(outcome: Outcome) -> str:
-    """Return what became of a request."""
+    """Return the category of a request outcome."""
     if outcome.status == 503:
         return "refused"
     if outcome.status != 200:
@@ -36,22 +36,26 @@
 
 
 def build(
-    seed: int, began: float, outcomes: list[Outcome], events: list[Event], found: list[str]
+    seed: int,
+    started_at: float,
+    outcomes: list[Outcome],
+    events: list[Event],
+    violations: list[str],
 ) -> dict[str, Any]:
-    """Return the report of a run, with times in seconds from its beginning."""
+    """Return the report of a run, with times in seconds from its start."""
     seconds: dict[int, Counter[str]] = {}
     for outcome in outcomes:
-        seconds.setdefault(int(outcome.sent - began), Counter())[kind_of(outcome)] += 1
+        seconds.setdefault(int(outcome.sent - started_at), Counter())[kind_of(outcome)] += 1
     return {
         "seed": seed,
-        "violations": found,
+        "violations": violations,
         "requests": dict(Counter(map(kind_of, outcomes))),
         "by_second": {str(second): dict(seconds[second]) for second in sorted(seconds)},
         "faults": [
             {
                 **attrs.asdict(event),
-                "since": round(event.since - began, 2),
-                "until": round(event.until - began, 2),
+                "since": round(event.since - started_at, 2),
+                "until": round(event.until - started_at, 2),
             }
             for event in events
         ],
@@ -77,10 +81,10 @@
     top.stackplot(seconds, counts, labels=COLOURS, colors=COLOURS.values(), step="post")
     top.set_ylabel("requests a second")
     top.legend(loc="upper right")
-    for height, fault in enumerate(report["faults"]):
-        bottom.plot([fault["since"], fault["until"]], [height, height], linewidth=3)
+    for row_number, fault in enumerate(report["faults"]):
+        bottom.plot([fault["since"], fault["until"]], [row_number, row_number], linewidth=3)
         label = f"{fault['where']}: {fault['what']}"
-        bottom.annotate(label, (fault["since"], height), fontsize=6)
+        bottom.annotate(label, (fault["since"], row_number), fontsize=6)
     bottom.set_xlabel("seconds")
     bottom.set_yticks([])
     figure.suptitle(f"seed {report['seed']}, {len(report['violations'])} violations")
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start the processes, load and disturb them, check what was promised."""
+"""One run of the soak: start the fleet, apply load and faults, check the guarantees."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 
 ENTRIES = 3
 CALLERS = 4
-"""Callers of each machine for callers."""
+"""Callers of each entry VM."""
 
 START_S = 20.0
-"""Time in which the fleet has to serve for the first time, in seconds."""
+"""Time limit until the fleet serves all requests after its start."""
 
 RECOVERY_S = 12.0
-"""Time after the last fault in which everything has to be served again, in seconds."""
+"""Time limit until all requests are served again after the last fault."""
 
-CALM_S = 2.0
-"""How long it has to stay so, in seconds."""
+STABLE_PERIOD_S = 2.0
+"""Time during which all requests have to be served for the fleet to count as recovered."""
 
-CHANGE_S = 1.5
-"""Mean time between two changes of the routes, in seconds."""
+MEAN_CHANGE_INTERVAL_S = 1.5
+"""Mean time between two changes of the routes."""
 
 ZONES = "xyz"
 
 
 class Run:
-    """One seeded run.
+    """One run of the soak with a seed.
 
     Parameters
     ----------
     seed : int
-        Decides faults, loads and changes; what the processes make of them varies.
+        Determines faults, load and changes; the timing of the processes still varies.
     seconds : float
-        How long faults begin.
+        Time during which new faults start.
     folder : Path
-        Where logs and reports are kept.
+        Folder for logs and reports.
     """
 
     def __init__(self, seed: int, seconds: float, folder: Path) -> None:
@@ -56,8 +56,8 @@
         self._fleet = Fleet(folder, ENTRIES)
         self._ledger = Ledger()
         self._outcomes: list[Outcome] = []
-        self._found: list[str] = []
-        self._tops: set[int] = set()
+        self._violations: list[str] = []
+        self._top_ks: set[int] = set()
         self._acknowledged = 0
         self._targets = [
             SoakTarget(service, f"{service}-{zone}", zone, self._ledger, random.Random(seed + n))
@@ -68,8 +68,8 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> dict[str, Any]:
-        """Run everything and return the report, which is also written."""
-        began = asyncio.get_running_loop().time()
+        """Execute the run, write the report and return it."""
+        started_at = asyncio.get_running_loop().time()
         injector = Injector(self._fleet, self._targets, self._rng)
         try:
             await self._start()
@@ -83,39 +83,43 @@
                 process.reap()
             for target in self._targets:
                 await target.stop()
-        evidence = checks.Evidence(self._outcomes, self._ledger, injector.events, self._tops)
-        found = [*self._found, *injector.problems, *checks.violations(evidence)]
-        result = report.build(self._seed, began, self._outcomes, injector.events, found)
+        evidence = checks.Evidence(self._outcomes, self._ledger, injector.events, self._top_ks)
+        violations = [*self._violations, *injector.problems, *checks.violations(evidence)]
+        result = report.build(self._seed, started_at, self._outcomes, injector.events, violations)
         report.write(result, self._folder)
         return result
 
     async def _start(self) -> None:
         for target in self._targets:
             await target.start()
-            self._spawn(target.report(self._fleet))
-        for machine in [*self._fleet.voters, *self._fleet.entries]:
-            machine.start(bootstrap=True)
-        await self._change()
+            self._start_task(target.report(self._fleet))
+        for vm in [*self._fleet.voters, *self._fleet.entries]:
+            vm.start(bootstrap=True)
+        await self._change_routes()
         for number, entry in enumerate(self._fleet.entries * CALLERS):
             rng = random.Random(self._seed * 1000 + number)
             caller = Caller(f"c{number}", entry, self._outcomes, rng)
-            self._spawn(caller.run())
+            self._start_task(caller.run())
         await until(lambda: self._served_since(0.5), "the fleet serves", START_S)
-        self._spawn(self._change_often())
-        self._spawn(self._read_often())
+        self._start_task(self._keep_changing())
+        self._start_task(self._keep_reading())
 
-    def _spawn(self, coro: Any) -> None:
+    def _start_task(self, coro: Any) -> None:
         self._tasks.append(asyncio.ensure_future(coro))
 
     async def _recover(self) -> None:
-        """Wait until all is served, at most for the time that is promised."""
+        """Wait until all requests are served, and record a violation after the time limit."""
         try:
-            await until(lambda: self._served_since(CALM_S), "all is served", RECOVERY_S + CALM_S)
+            await until(
+                lambda: self._served_since(STABLE_PERIOD_S),
+                "all requests are served",
+                RECOVERY_S + STABLE_PERIOD_S,
+            )
         except AssertionError:
-            late = [o for o in self._recent(CALM_S) if o.status != 200]
-            self._found.append(
-                f"{RECOVERY_S} s after the last fault not all is served: "
-                f"{[(o.request_id, o.path, o.entry, o.status) for o in late[:5]]}"
+            unserved = [o for o in self._recent(STABLE_PERIOD_S) if o.status != 200]
+            self._violations.append(
+                f"{RECOVERY_S} s after the last fault some requests are not served: "
+                f"{[(o.request_id, o.path, o.entry, o.status) for o in unserved[:5]]}"
             )
 
     def _recent(self, seconds: float) -> list[Outcome]:
@@ -127,32 +131,30 @@
         entries = {outcome.entry for outcome in recent}
         return len(entries) == ENTRIES and all(outcome.status == 200 for outcome in recent)
 
-    # Routes.
-
-    async def _change(self) -> None:
+    async def _change_routes(self) -> None:
         version = self._acknowledged + 1
         top = self._rng.randint(3, 9)
-        self._tops.add(top)  # it may be in force before its acknowledgement
+        self._top_ks.add(top)  # the change may be in force before it is acknowledged
         await self._fleet.put(routes(version, top))
         self._acknowledged = version
 
-    async def _change_often(self) -> None:
+    async def _keep_changing(self) -> None:
         rng = random.Random(self._seed + 1)
         while True:
-            await asyncio.sleep(rng.expovariate(1 / CHANGE_S))
+            await asyncio.sleep(rng.expovariate(1 / MEAN_CHANGE_INTERVAL_S))
             try:
-                await self._change()
+                await self._change_routes()
             except AssertionError as exc:
-                self._found.append(str(exc))
+                self._violations.append(str(exc))
 
-    async def _read_often(self) -> None:
-        """Read the routes from any voter: an acknowledged version is never lost or older."""
+    async def _keep_reading(self) -> None:
+        """Check that no voter returns a version older than an acknowledged one."""
         for voter in itertools.cycle(self._fleet.voters):
             await asyncio.sleep(0.2)
-            least = self._acknowledged
-            version = (await self._fleet.read(voter)).get("Version", least)
-            if version < least:
-                self._found.append(f"{voter.name} read version {version} after {least}")
+            acknowledged = self._acknowledged
+            version = (await self._fleet.read(voter)).get("Version", acknowledged)
+            if version < acknowledged:
+                self._violations.append(f"{voter.name} read version {version} after {acknowledged}")
 
 
 def routes(version: int, top: int) -> dict[str, Any]:
@@ -183,12 +185,12 @@
 
 
 def play(seed: int, seconds: float, folder: Path) -> dict[str, Any]:
-    """Play one seed and return its report.
+    """Run one seed and return its report.
 
     Raises
     ------
     AssertionError
-        The fleet did not serve at the start.
+        The fleet did not serve all requests in time after its start.
     """
     folder.mkdir(parents=True, exist_ok=True)
     started = time.monotonic()
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the soak: what they ran is remembered, and they report to the voters."""
+"""Targets of the soak: they record the requests that they run, and report to the voters."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 RECORD_BYTES, RECORDS = 16, 5
 ENDLESS_START = b"HTTP/1.1 200 OK\r\n"
-ENDLESS_PIECES = [b"x" * 65536, b"x: y\r\n" * 10000, b"\r\n" + b"x" * 65536]
-REPORT_S = 0.4
-"""Time between two liveness reports of a target, in seconds; `HeartbeatMs` of the fleet."""
+ENDLESS_CHUNKS = [b"x" * 65536, b"x: y\r\n" * 10000, b"\r\n" + b"x" * 65536]
+REPORT_INTERVAL_S = 0.4
+"""Time between two liveness reports of a target; `HeartbeatMs` of the fleet."""
 
 
 def records(service: str, request_id: str) -> bytes:
-    """Return the part of a service for a request, which anyone can work out again."""
+    """Return the reply of a service to a request, which depends on nothing else."""
     digests = (
         hashlib.blake2b(f"{service}/{request_id}/{n}".encode(), digest_size=RECORD_BYTES).digest()
         for n in range(RECORDS)
@@ -30,26 +30,26 @@
 
 
 class Fault(enum.StrEnum):
-    """What a target does wrong; its liveness reports go on."""
+    """A fault of a target; its liveness reports continue."""
 
     NONE = "none"
     SLOW = "slow"
     HANG = "hang"
     SHED = "shed"
     ERRORS = "errors"
-    LOSES = "loses"  # it runs the request, and the answer is lost
+    LOSES = "loses"  # it runs the request and closes the connection without a response
     GARBLES = "garbles"
-    ENDLESS = "endless"  # it sends a head, headers or a body until the connection is closed
-    HOLDS = "holds"  # it refuses, and says for how long it wants nothing
-    LEAVES = "leaves"  # it says so in each answer, and ends as a new incarnation
+    ENDLESS = "endless"  # it sends headers or a body until the connection is closed
+    HOLDS = "holds"  # it refuses with a Retry-After
+    LEAVES = "leaves"  # it announces in each response that it leaves, then restarts
 
 
 HOLD_S = 2.0
-"""How long a target that holds wants no requests after a refusal, in seconds."""
+"""Retry-After of a target with `Fault.HOLDS`."""
 
 
 class Ledger:
-    """What all targets received, ran and said; times are seconds of the loop's clock."""
+    """Requests and signals of all targets; times are seconds of the event loop's clock."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[str]] = defaultdict(list)
@@ -67,11 +67,11 @@
     Parameters
     ----------
     service, target_id, zone : str
-        Who and where it is.
+        Identity and zone of the target.
     ledger : Ledger
         Shared by all targets.
     rng : random.Random
-        Source of service times and of what fails.
+        Random numbers for service times and failures.
     """
 
     def __init__(
@@ -89,13 +89,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen, directly and behind the proxy."""
+        """Start the target and the proxy in front of it."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.proxy = Proxy(self._server.sockets[0].getsockname()[1])
         self._address = await self.proxy.start()
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop the proxy and the target."""
         await self.proxy.close()
         self._server.close()
 
@@ -106,25 +106,25 @@
                 await fleet.report(
                     self.service, self.target_id, self._address, sequence, self.zone, self.born
                 )
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     def return_anew(self) -> None:
-        """Become a new incarnation at the same address."""
+        """Continue as a new incarnation at the same address."""
         self.born += 1
         self._ledger.returns[self.target_id].append(asyncio.get_running_loop().time())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # Cancelled at the end of the run; asyncio would log it as an error of the server.
-        ends = asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError
-        with contextlib.suppress(*ends):
-            while await self._answer(await reader.readuntil(b"\r\n\r\n"), reader, writer):
+        # The run cancels this task at its end; asyncio would log that as an error.
+        expected_errors = asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError
+        with contextlib.suppress(*expected_errors):
+            while await self._respond(await reader.readuntil(b"\r\n\r\n"), reader, writer):
                 await writer.drain()
         writer.close()
 
-    async def _answer(
+    async def _respond(
         self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one request; return whether the connection goes on."""
+        """Respond to one request; return whether the connection stays open."""
         lines = (line.partition(b": ") for line in head.split(b"\r\n")[1:])
         fields = {name.lower(): value.decode() for name, _, value in lines}
         await reader.readexactly(int(fields.get(b"content-length", "0")))
@@ -133,18 +133,18 @@
         arrival = (loop.time(), request_id)
         self._ledger.arrivals[self.service].append(arrival)
         fault = self.fault
-        refused = [b"X-Not-Executed: 1"]
+        not_executed = [b"X-Not-Executed: 1"]
         if fields.get(b"x-expect-instance") != self.target_id:
-            writer.write(_response(421, request_id, refused, b""))
+            writer.write(_response(421, request_id, not_executed, b""))
             return True
         self._ledger.asked[self.target_id].append(arrival)
         if fault is Fault.HOLDS:
             self._ledger.holds[self.target_id].append(arrival)
-            hold = [*refused, b"Retry-After: %.1f" % HOLD_S]
+            hold = [*not_executed, b"Retry-After: %.1f" % HOLD_S]
             writer.write(_response(503, request_id, hold, b""))
             return True
         if fault is Fault.SHED and self._rng.random() < 0.5:
-            writer.write(_response(503, request_id, refused, b""))
+            writer.write(_response(503, request_id, not_executed, b""))
             return True
         self._ledger.runs[request_id].append(self.target_id)
         await asyncio.sleep(self._rng.uniform(0.002, 0.012) * (10 if fault is Fault.SLOW else 1))
@@ -160,9 +160,9 @@
             return False
         if fault is Fault.ENDLESS and self._rng.random() < 0.3:
             writer.write(ENDLESS_START)
-            piece = self._rng.choice(ENDLESS_PIECES)
+            chunk = self._rng.choice(ENDLESS_CHUNKS)
             while True:
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
         receipt = f"{self.target_id}.{next(self._count)}"
         self._ledger.receipts[receipt] = (self.service, request_id)
