--- a/scripts/pages.py
+++ b/scripts/pages.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python
 """Writes docs/settings.md, docs/metrics.md and docs/errors.md from the code.
 
-Run it with the environment's Python after a change of options, metrics or error types; a test
-compares the pages with the code.
+Run it with the Python of the virtual environment after a change of options, metrics or error
+types; a test compares the pages with the code.
 """
 
 from __future__ import annotations
@@ -70,18 +70,18 @@
 
 
 def settings_page() -> str:
-    """Return docs/settings.md."""
+    """Return the content of docs/settings.md."""
     parts = [SETTINGS_INTRO, *_sections(Settings), STANDIN_INTRO, *_sections(StandInSettings)]
     return "\n".join(parts)
 
 
 def metrics_page() -> str:
-    """Return docs/metrics.md."""
+    """Return the content of docs/metrics.md."""
     return f"{METRICS_INTRO}\n{metrics_table()}\n"
 
 
 def errors_page() -> str:
-    """Return docs/errors.md."""
+    """Return the content of docs/errors.md."""
     lines = [f"| {' | '.join(map(str, row))} |" for row in rows()]
     head = ["| code | name | HTTP status | exit code | meaning |", "|---|---|---|---|---|"]
     return "\n".join([ERRORS_INTRO, *head, *lines, ""])
@@ -94,8 +94,8 @@
 }
 
 
-def _sections(cls: type) -> Iterator[str]:
-    for section in attrs.fields(cls):
+def _sections(settings_type: type) -> Iterator[str]:
+    for section in attrs.fields(settings_type):
         optional = " (optional section)" if section.metadata["optional"] else ""
         yield f"### `[{section.name}]`{optional}\n\n{section.metadata['meaning']}\n"
         yield "| option | default | unit | allowed | meaning |\n|---|---|---|---|---|"
@@ -105,13 +105,13 @@
 
 
 def _row(name: str, default: object, option: Option) -> str:
-    shown = "required" if default is attrs.NOTHING else f"`{_toml(default)}`"
+    default_text = "required" if default is attrs.NOTHING else f"`{_toml(default)}`"
     unit = option.unit or "-"
-    return f"| `{name}` | {shown} | {unit} | {option.kind.allowed} | {option.meaning} |"
+    return f"| `{name}` | {default_text} | {unit} | {option.kind.allowed} | {option.meaning} |"
 
 
 def _toml(value: object) -> str:
-    """Return a default as TOML."""
+    """Return a default value in TOML syntax."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
--- a/scripts/quickstart.py
+++ b/scripts/quickstart.py
@@ -1,7 +1,7 @@
-"""Starts three daemons and the stand-in targets of one service, runs one search, stops all.
+"""Starts three daemons and the stand-in targets of one service, runs a search and stops them.
 
 The last line of the output is one JSON object with the result, the snapshot and the coverage.
-Progress goes to standard error. Every process that was started is stopped by its pid.
+Progress goes to standard error. Each process is signalled by its process id.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 DOMAINS = ("catania", "palermo", "siracusa")
 SERVICE, SHARDS, REPLICAS = "archivio", 10, 3
 
-# Longest wait for one step on a busy machine, in seconds.
+# Long enough for a heavily loaded machine.
 STEP_LIMIT_S = 30.0
 STOP_LIMIT_S = 15.0
 
@@ -64,11 +64,11 @@
 
 
 class StepFailed(Exception):
-    """A step did not reach its end."""
+    """A step failed or timed out."""
 
 
 class Fleet:
-    """The processes of one run.
+    """The daemons and stand-in targets of one run.
 
     Parameters
     ----------
@@ -91,7 +91,7 @@
             self._spawn(f"targets-{domain}", "bramleycrank-target", self._standin_settings(domain))
 
     def stop(self) -> None:
-        """Stop all processes by pid, gracefully at first."""
+        """Stop all processes with SIGTERM, and after a time limit with SIGKILL."""
         for name in reversed(self._processes):
             self._signal(name, signal.SIGTERM)
         deadline = time.monotonic() + STOP_LIMIT_S
@@ -102,16 +102,16 @@
                 self._signal(name, signal.SIGKILL)
                 code = process.wait()
             if code != 0:
-                say(f"{name} ended with exit code {code}")
+                print_progress(f"{name} ended with exit code {code}")
 
     def check_alive(self) -> None:
-        """Raise if a process has ended."""
+        """Raise `StepFailed` if a process has ended."""
         for name, process in self._processes.items():
             if process.poll() is not None:
                 raise StepFailed(f"{name} ended with exit code {process.returncode}")
 
     def logs(self, lines: int = 12) -> str:
-        """Return the ends of all logs."""
+        """Return the last lines of all logs."""
         parts = []
         for path in sorted(self.folder.glob("*.log")):
             tail = path.read_text(errors="replace").splitlines()[-lines:]
@@ -140,29 +140,29 @@
             domain=domain,
             http=self.http[domain],
             grpc=self.grpc[domain],
-            seeds=quoted(self.grpc.values()),
+            seeds=toml_items(self.grpc.values()),
             folder=self.folder,
         )
 
     def _standin_settings(self, domain: str) -> str:
-        own_first = sorted(self.grpc, key=lambda other: other != domain)
+        own_domain_first = sorted(self.grpc, key=lambda other: other != domain)
         return STANDIN_SETTINGS.format(
             service=SERVICE,
             shards=SHARDS,
             replicas=REPLICAS,
-            domains=quoted(DOMAINS),
+            domains=toml_items(DOMAINS),
             domain=domain,
-            vms=quoted(self.grpc[d] for d in own_first),
+            vms=toml_items(self.grpc[d] for d in own_domain_first),
         )
 
 
-def quoted(words) -> str:
-    """Return words as the inner part of a TOML list."""
-    return ", ".join(f'"{word}"' for word in words)
+def toml_items(values) -> str:
+    """Return strings as the items of a TOML array, without the brackets."""
+    return ", ".join(f'"{value}"' for value in values)
 
 
 def free_ports(count: int) -> Iterator[int]:
-    """Yield distinct free ports below the range that the kernel hands out for connections."""
+    """Yield distinct free ports below the range of the kernel's ephemeral ports."""
     chosen: set[int] = set()
     while len(chosen) < count:
         port = random.SystemRandom().randrange(10_000, 30_000)
@@ -173,48 +173,50 @@
                 yield port
 
 
-def say(text: str) -> None:
-    """Print progress."""
+def print_progress(text: str) -> None:
+    """Print a progress message to standard error."""
     print(f"quickstart: {text}", file=sys.stderr, flush=True)
 
 
-def cli(server: str, *words: str) -> dict[str, Any]:
+def run_cli(server: str, *args: str) -> dict[str, Any]:
     """Run the command-line tool and return its JSON result."""
-    command = [BIN / "bramleycrank", "--server", server, "--json", *words]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=STEP_LIMIT_S)
-    if done.returncode != 0:
-        raise StepFailed(f"bramleycrank {' '.join(words)}: {done.stderr.strip()}")
-    return json.loads(done.stdout)
+    command = [BIN / "bramleycrank", "--server", server, "--json", *args]
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=STEP_LIMIT_S)
+    if completed.returncode != 0:
+        raise StepFailed(f"bramleycrank {' '.join(args)}: {completed.stderr.strip()}")
+    return json.loads(completed.stdout)
 
 
 def http_call(address: str, method: str, path: str, body: dict | None = None) -> tuple[int, Any]:
-    """Return status and JSON content of one HTTP call; status 0 if the connection failed."""
+    """Return status and content of one HTTP request; status 0 if the connection failed."""
     conn = http.client.HTTPConnection(address, timeout=5)
     try:
         conn.request(method, path, body and json.dumps(body))
-        reply = conn.getresponse()
-        text = reply.read()
-        return reply.status, json.loads(text) if reply.status == 200 and body else text.decode()
+        response = conn.getresponse()
+        text = response.read()
+        return response.status, json.loads(
+            text
+        ) if response.status == 200 and body else text.decode()
     except (OSError, http.client.HTTPException) as exc:
         return 0, repr(exc)
     finally:
         conn.close()
 
 
-def wait_for(what: str, fleet: Fleet, condition: Callable[[], Any]) -> Any:
-    """Return the first true value of a condition."""
+def wait_for(description: str, fleet: Fleet, condition: Callable[[], Any]) -> Any:
+    """Poll a condition and return its first true value."""
     started = time.monotonic()
     while time.monotonic() - started < STEP_LIMIT_S:
         fleet.check_alive()
         value = condition()
         if value:
-            say(f"{what} ({time.monotonic() - started:.1f} s)")
+            print_progress(f"{description} ({time.monotonic() - started:.1f} s)")
             return value
         time.sleep(0.1)
-    raise StepFailed(f"not within {STEP_LIMIT_S:g} s: {what}")
+    raise StepFailed(f"timed out after {STEP_LIMIT_S:g} s: {description}")
 
 
-def listening(address: str) -> bool:
+def is_listening(address: str) -> bool:
     """Return whether a port accepts connections."""
     host, _, port = address.rpartition(":")
     try:
@@ -225,8 +227,8 @@
 
 
 def target_count(server: str) -> int:
-    """Return how many serving targets a VM knows."""
-    listed = cli(server, "target", "list", f"--service={SERVICE}")["targets"]
+    """Return the number of serving targets in the membership of a VM."""
+    listed = run_cli(server, "target", "list", f"--service={SERVICE}")["targets"]
     return sum(target["state"] == "TARGET_STATE_SERVING" for target in listed)
 
 
@@ -240,24 +242,26 @@
 def run(fleet: Fleet) -> dict[str, Any]:
     """Run all steps and return the answer of the search."""
     fleet.start()
-    first = fleet.grpc[DOMAINS[0]]
-    wait_for("daemons accept calls", fleet, lambda: all(listening(a) for a in fleet.grpc.values()))
-    cli(first, "vm", "bootstrap", ",".join(fleet.grpc.values()))
-    say("voters bootstrapped")
-    created = cli(first, "service", "create", SERVICE, "--kinds=work_order")
-    cli(first, "config", "wait", str(created["revision"]))
-    say(f"service {SERVICE} created, revision {created['revision']} in force")
+    first_server = fleet.grpc[DOMAINS[0]]
+    wait_for(
+        "daemons accept calls", fleet, lambda: all(is_listening(a) for a in fleet.grpc.values())
+    )
+    run_cli(first_server, "vm", "bootstrap", ",".join(fleet.grpc.values()))
+    print_progress("voters bootstrapped")
+    created = run_cli(first_server, "service", "create", SERVICE, "--kinds=work_order")
+    run_cli(first_server, "config", "wait", str(created["revision"]))
+    print_progress(f"service {SERVICE} created, revision {created['revision']} in force")
     wait_for(
         "daemons are ready",
         fleet,
         lambda: all(http_call(a, "GET", "/readyz")[0] == 200 for a in fleet.http.values()),
     )
-    wanted = SHARDS * REPLICAS
+    expected_targets = SHARDS * REPLICAS
     for domain in DOMAINS:
         wait_for(
-            f"vm-{domain} knows {wanted} targets",
+            f"vm-{domain} knows {expected_targets} targets",
             fleet,
-            lambda domain=domain: target_count(fleet.grpc[domain]) == wanted,
+            lambda domain=domain: target_count(fleet.grpc[domain]) == expected_targets,
         )
     return wait_for(
         f"search covers {SHARDS} shards", fleet, lambda: search(fleet.http[DOMAINS[-1]])
@@ -265,7 +269,7 @@
 
 
 def main() -> int:
-    """Run the quick start; the fleet is stopped on every way out."""
+    """Run the quick start and always stop the fleet."""
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, lambda number, _: sys.exit(128 + number))
     with tempfile.TemporaryDirectory(prefix="bramleycrank-") as folder:
@@ -273,7 +277,7 @@
         try:
             answer = run(fleet)
         except (StepFailed, subprocess.TimeoutExpired) as exc:
-            say(f"failed: {exc}\n{fleet.logs()}")
+            print_progress(f"failed: {exc}\n{fleet.logs()}")
             return 1
         finally:
             fleet.stop()
