--- a/harness/processes.py
+++ b/harness/processes.py
@@ -67,7 +67,7 @@
             last_result = exc
         await asyncio.sleep(poll_interval_s)
     raise AssertionError(
-        f"timed out after {timeout_s} s waiting until {description}; last result: {last_result!r}"
+        f"timed out after {timeout_s} s: {description}; last result: {last_result!r}"
     )
 
 
--- a/scripts/quickstart.py
+++ b/scripts/quickstart.py
@@ -192,11 +192,9 @@
     conn = http.client.HTTPConnection(address, timeout=5)
     try:
         conn.request(method, path, body and json.dumps(body))
-        response = conn.getresponse()
-        text = response.read()
-        return response.status, json.loads(
-            text
-        ) if response.status == 200 and body else text.decode()
+        rsp = conn.getresponse()
+        text = rsp.read()
+        return rsp.status, json.loads(text) if rsp.status == 200 and body else text.decode()
     except (OSError, http.client.HTTPException) as exc:
         return 0, repr(exc)
     finally:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,6 +1,6 @@
-"""Real daemons and stand-in targets as child processes, for the process tests.
+"""Runs daemons and stand-in targets as child processes, for the process tests.
 
-Every wait is bounded and polls a condition; every process is stopped by its own pid.
+Every wait polls a condition with a time limit; each process is signalled by its process id.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class Vm:
-    """A daemon that can be killed, frozen, stopped and started again."""
+    """A daemon that can be killed, frozen, stopped and restarted."""
 
     def __init__(self, fleet: Fleet, number: int, domain: str, storage: bool) -> None:
         self.fleet = fleet
@@ -69,7 +69,7 @@
 
     @property
     def data_dir(self) -> Path:
-        """Data folder."""
+        """Folder of the persistent data."""
         return self.fleet.folder / f"{self.vm_id}-data"
 
     @property
@@ -97,7 +97,7 @@
         self.process = self.fleet.spawn(command, log, self.env)
 
     def kill(self) -> None:
-        """End the daemon as a power loss would."""
+        """Kill the daemon with SIGKILL."""
         self.process.reap()
 
     async def stop(self, timeout_s: float = 30.0) -> None:
@@ -107,17 +107,23 @@
         assert self.process.exit_code == 0, self.process.log_tail()
 
     def freeze(self) -> None:
-        """Stop the process without ending it."""
+        """Suspend the process with SIGSTOP."""
         self.process.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the process with SIGCONT."""
         self.process.signal(signal.SIGCONT)
 
     async def request(
         self, method: str, path: str, body: dict | None = None, timeout_s: float = 10.0
     ) -> tuple[int, Any]:
-        """Return status and JSON of one HTTP request; `OSError` if the connection fails."""
+        """Return status and JSON content, or else text, of one HTTP request.
+
+        Raises
+        ------
+        OSError
+            The connection failed.
+        """
         return await asyncio.to_thread(self._request, method, path, body, timeout_s)
 
     def _request(self, method: str, path: str, body: dict | None, timeout_s: float) -> tuple:
@@ -126,27 +132,27 @@
             data = None if body is None else json.dumps(body)
             conn.request(method, path, data, {"Content-Type": "application/json"})
             response = conn.getresponse()
-            text = response.read()
+            content = response.read()
             try:
-                return response.status, json.loads(text)
+                return response.status, json.loads(content)
             except ValueError:
-                return response.status, text.decode(errors="replace")
+                return response.status, content.decode(errors="replace")
         except http.client.HTTPException as exc:
             raise ConnectionError(f"{type(exc).__name__}: {exc}") from exc
         finally:
             conn.close()
 
     async def ready(self) -> bool:
-        """Return whether readyz is ok."""
+        """Return whether /readyz responds with status 200."""
         return (await self.request("GET", "/readyz", timeout_s=2.0))[0] == 200
 
     async def query(self, **fields: Any) -> tuple[int, Any]:
-        """Return status and JSON of one search, unless other fields are given."""
+        """Return status and JSON of one query; fields change the default search."""
         body = {"service": "demo", "kind": "search", "query": "bell", "deadline_ms": 3000, **fields}
         return await self.request("POST", "/v1/query", body)
 
     async def status(self, **fields: Any) -> operator_pb2.StatusReply:
-        """Return what the VM says about all VMs."""
+        """Return the status of all VMs, as this VM reports it."""
         return await self.operator.Status(operator_pb2.StatusRequest(**fields), timeout=5.0)
 
     async def revision(self) -> int:
@@ -154,7 +160,7 @@
         return (await self.status(local=True)).vms[0].revision
 
     async def role(self) -> str:
-        """Return this VM's own view of its role."""
+        """Return the consensus role that this VM reports for itself."""
         return (await self.status(local=True)).vms[0].role
 
     async def dump(self) -> dict[str, Any]:
@@ -162,12 +168,17 @@
         return json.loads((await self.operator.Dump(operator_pb2.DumpRequest())).json)
 
     async def put_service(
-        self, name: str, expected: int = 0, change_id: str = "", timeout_s: float = 5.0, **fields
+        self,
+        name: str,
+        expected_version: int = 0,
+        change_id: str = "",
+        timeout_s: float = 5.0,
+        **fields,
     ) -> operator_pb2.ChangeReply:
         """Create or change a service through this VM."""
         change = log_pb2.Change(
             change_id=change_id or uuid.uuid4().hex,
-            expected_version=expected,
+            expected_version=expected_version,
             put_service=log_pb2.ServiceConfig(name=name, **fields),
         )
         request = operator_pb2.ChangeRequest(change=change, timeout_ms=int(timeout_s * 1000))
@@ -190,12 +201,12 @@
         self.stub = StandInStub(self._channel)
 
     async def effects(self) -> dict[str, int]:
-        """Return how often each request key was run, over all targets."""
-        total: dict[str, int] = {}
+        """Return the number of runs of each request key, summed over all targets."""
+        counts: dict[str, int] = {}
         for target in (await self.stub.Stats(standin_pb2.StatsRequest())).targets:
             for key, count in target.effects.items():
-                total[key] = total.get(key, 0) + count
-        return total
+                counts[key] = counts.get(key, 0) + count
+        return counts
 
     def close(self) -> None:
         """Close the control channel."""
@@ -203,7 +214,7 @@
 
 
 class Fleet:
-    """All processes of one test."""
+    """All VMs and stand-in processes of one test."""
 
     def __init__(
         self, folder: Path, domains: tuple[str, ...], voters: int, disks: int | None = None
@@ -218,7 +229,7 @@
         self.voters = self.vms[:voters]
 
     def spawn(self, command: list[str], log: Path, env: dict[str, str] | None = None) -> Process:
-        """Start a process that ends with the fleet."""
+        """Start a process that is killed when the fleet closes."""
         process = Process(command, log, env)
         self._processes.append(process)
         return process
@@ -239,14 +250,14 @@
                 await until(vm.ready, f"{vm.vm_id} is ready")
 
     async def bootstrap(self) -> None:
-        """Form a cluster of the voters; all of them are waited for first."""
+        """Wait until all VMs respond to operators, then bootstrap the voters."""
         for vm in self.vms:
-            await until(lambda vm=vm: vm.status(local=True), f"{vm.vm_id} answers operators")
+            await until(lambda vm=vm: vm.status(local=True), f"{vm.vm_id} responds to operators")
         request = operator_pb2.BootstrapRequest(addresses=[vm.address for vm in self.voters])
         await self.voters[0].operator.Bootstrap(request)
 
     async def leader(self, among: list[Vm] | None = None, timeout_s: float = WAIT_LIMIT_S) -> Vm:
-        """Return the VM that leads in its own view."""
+        """Wait for a VM that reports itself as the leader and return it."""
         candidates = self.vms if among is None else among
 
         async def find() -> Vm | None:
@@ -256,23 +267,23 @@
                         return vm
             return None
 
-        return await until(find, "a leader stands", timeout_s)
+        return await until(find, "a VM is the leader", timeout_s)
 
     def others(self, *excluded: Vm) -> list[Vm]:
-        """Return all VMs but the given ones."""
+        """Return all VMs except the given ones."""
         return [vm for vm in self.vms if vm not in excluded]
 
     async def in_force(self, revision: int, vms: list[Vm] | None = None, timeout_s=10.0) -> None:
-        """Wait until a revision or a later one is in force on VMs."""
+        """Wait until a revision or a later one is in force on the given VMs, or on all."""
 
-        async def all_have_it() -> bool:
-            values = await asyncio.gather(*(vm.revision() for vm in vms or self.vms))
-            return min(values) >= revision
+        async def is_in_force_everywhere() -> bool:
+            revisions = await asyncio.gather(*(vm.revision() for vm in vms or self.vms))
+            return min(revisions) >= revision
 
-        await until(all_have_it, f"revision {revision} is in force", timeout_s)
+        await until(is_in_force_everywhere, f"revision {revision} is in force", timeout_s)
 
     def close(self) -> None:
-        """End every process."""
+        """Close all channels and kill every process."""
         for standin in self._standins:
             standin.close()
         self.clients.close()
@@ -291,9 +302,9 @@
     start: bool = True,
     timeout_s: float = 60.0,
 ) -> None:
-    """Run a scenario with its own fleet; a failure shows the logs of the VMs."""
+    """Run a scenario with a new fleet; print the logs of the VMs if it fails."""
 
-    async def body() -> None:
+    async def run() -> None:
         fleet = Fleet(folder, domains, voters, disks)
         try:
             async with asyncio.timeout(timeout_s):
@@ -309,4 +320,4 @@
         finally:
             fleet.close()
 
-    asyncio.run(body())
+    asyncio.run(run())
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""Relays between all VMs of a fleet, one for each direction of connecting."""
+"""Relays between all VMs of a fleet, one for each ordered pair of VMs."""
 
 from __future__ import annotations
 
@@ -12,29 +12,33 @@
 
 
 class Links:
-    """The relays between all VMs of a fleet."""
+    """Controls the links between all VMs of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._relays: dict[tuple[str, str], Relay] = {}
 
     async def start(self) -> None:
-        """Open all relays and give their addresses to the VMs, which must not run yet."""
-        routes: dict[str, dict[str, str]] = {vm.vm_id: {} for vm in self._fleet.vms}
+        """Start all relays and pass their addresses to the VMs, which must not run yet."""
+        relay_addresses: dict[str, dict[str, str]] = {vm.vm_id: {} for vm in self._fleet.vms}
         for source, target in itertools.permutations(self._fleet.vms, 2):
             relay = Relay(HOST, target.grpc)
             self._relays[source.vm_id, target.vm_id] = relay
-            routes[source.vm_id][target.address] = await relay.start()
+            relay_addresses[source.vm_id][target.address] = await relay.start()
         for vm in self._fleet.vms:
-            vm.env["BRAMLEYCRANK_RELAYS"] = json.dumps(routes[vm.vm_id])
+            vm.env["BRAMLEYCRANK_RELAYS"] = json.dumps(relay_addresses[vm.vm_id])
 
-    def between(self, *side: Vm) -> list[Relay]:
-        """Return the relays between some VMs and all others."""
-        names = {vm.vm_id for vm in side}
-        return [r for (a, b), r in self._relays.items() if (a in names) != (b in names)]
+    def between(self, *vms: Vm) -> list[Relay]:
+        """Return the relays between the given VMs and all others."""
+        vm_ids = {vm.vm_id for vm in vms}
+        return [
+            relay
+            for (source, target), relay in self._relays.items()
+            if (source in vm_ids) != (target in vm_ids)
+        ]
 
     def delay(self, delay_s: float) -> None:
-        """Delay what passes any link; data that arrives meanwhile goes on together."""
+        """Delay all data on all links; data that arrives during a delay is forwarded together."""
         for relay in self._relays.values():
             relay.delay_s = delay_s
 
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -1,4 +1,4 @@
-"""Guards against a proof in docs/guarantees.md that no longer exists."""
+"""Guards against a reference in docs/guarantees.md to a test that does not exist."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_each_named_proof_exists():
+def test_each_referenced_test_exists():
     names = re.findall(r"`(tests/\w+\.py)::(\w+)`", (ROOT / "docs/guarantees.md").read_text())
     missing = [
         f"{path}::{name}"
--- a/tests/test_process_domain_cut.py
+++ b/tests/test_process_domain_cut.py
@@ -1,4 +1,4 @@
-"""A whole failure domain, VMs and targets, is cut off from the others and comes back."""
+"""A whole failure domain, VMs and targets, is partitioned from the others and rejoins."""
 
 from __future__ import annotations
 
@@ -51,56 +51,56 @@
 
 
 async def effects(fleet: BenchFleet) -> dict[str, int]:
-    """Return how often each work order ran, over all targets of all domains."""
-    total: dict[str, int] = {}
+    """Return the number of runs of each work order, summed over all targets."""
+    counts: dict[str, int] = {}
     for targets in fleet.of_search():
-        for item in await targets.stats():
-            for key, count in item.effects.items():
-                total[key] = total.get(key, 0) + count
-    return total
+        for target in await targets.stats():
+            for key, count in target.effects.items():
+                counts[key] = counts.get(key, 0) + count
+    return counts
 
 
 async def scenario(fleet: BenchFleet) -> None:
-    """Cut domain c off, use both sides, heal the cut and compare."""
-    first, other, cut_off = fleet.vms
-    now_ms = int(time.time() * 1000)
-    before = await order(first, "before", now_ms)
+    """Partition domain c, send requests to both sides, end the partition and compare."""
+    first, other, isolated = fleet.vms
+    issued_at_ms = int(time.time() * 1000)
+    answer_before = await order(first, "before", issued_at_ms)
     fleet.cut("c")
 
-    async def stale() -> bool:
-        answer = await search(cut_off)
+    async def is_stale() -> bool:
+        answer = await search(isolated)
         assert answer.get("outcome") == "complete", answer
         return answer["config"]["stale_ms"] > 0
 
-    await until(stale, "the VM that is cut off says that it is stale", 20)
-    resent = (await order(cut_off, "before", now_ms))["error"]
-    assert resent["outcome"] == "unknown", "an earlier attempt ran on the other side"
-    assert (await order(cut_off, "during", now_ms))["error"]["outcome"] == "unknown"
-    ran = await order(other, "during", now_ms)
-    assert ran["outcome"] == "complete", ran
+    await until(is_stale, "the isolated VM reports a stale configuration", 20)
+    resent = (await order(isolated, "before", issued_at_ms))["error"]
+    assert resent["outcome"] == "unknown", "an earlier attempt ran in another domain"
+    assert (await order(isolated, "during", issued_at_ms))["error"]["outcome"] == "unknown"
+    answer_during = await order(other, "during", issued_at_ms)
+    assert answer_during["outcome"] == "complete", answer_during
     for vm in (first, other):
         assert (await search(vm))["outcome"] == "complete"
     version = await until(lambda: fleet.put_service("fonderia", 2, via=first), "a change")
 
     fleet.heal()
 
-    async def back() -> bool:
-        return await cut_off.revision() >= version
+    async def has_change() -> bool:
+        return await isolated.revision() >= version
 
-    await until(back, "the change is in force after the cut", 20)
+    await until(has_change, "the change is in force after the partition", 20)
 
-    async def fresh() -> bool:
-        return (await search(cut_off))["config"]["stale_ms"] == 0
+    async def is_current() -> bool:
+        return (await search(isolated))["config"]["stale_ms"] == 0
 
-    await until(fresh, "the VM is current again", 20)
-    assert (await order(cut_off, "before", now_ms))["result"] == before["result"]
-    assert (await order(cut_off, "during", now_ms))["result"] == ran["result"]
+    await until(is_current, "the VM has a current configuration again", 20)
+    assert (await order(isolated, "before", issued_at_ms))["result"] == answer_before["result"]
+    assert (await order(isolated, "during", issued_at_ms))["result"] == answer_during["result"]
     assert await effects(fleet) == {"before": 1, "during": 1}
 
 
 @pytest.mark.process
-def test_a_domain_that_is_cut_off_serves_reads_and_repeats_no_effect(tmp_path):
-    """Guards against reads that stop, untrue "not run" and double effects across a cut."""
+def test_an_isolated_domain_serves_reads_and_no_work_order_runs_twice(tmp_path):
+    """Guards against failed reads, wrong "not run" outcomes and double runs in a partition."""
 
     async def body() -> None:
         fleet = BenchFleet(SHAPE, "adaptive", tmp_path, 1)
--- a/tests/test_process_links.py
+++ b/tests/test_process_links.py
@@ -1,4 +1,4 @@
-"""Real daemons behind a relay: cut and silent links between VMs."""
+"""Real daemons behind relays: partitioned, silent and slow links between VMs."""
 
 import time
 
@@ -14,7 +14,7 @@
 WORK_ORDER = [log_pb2.KindConfig(name="work_order")]
 
 
-def with_links(folder, scenario, **options):
+def run_with_links(folder, scenario, **options):
     async def body(fleet):
         links = Links(fleet)
         await links.start()
@@ -38,25 +38,25 @@
     }
 
 
-def test_cut_off_leader_stops_accepting_and_goes_on_reading(tmp_path):
+def test_isolated_leader_refuses_changes_and_still_serves_reads(tmp_path):
     async def scenario(fleet, links):
         standin = fleet.standin(shards=2, replicas=3, domains="a,b,c")
         leader = await fleet.leader()
-        rest = fleet.others(leader)
+        remaining = fleet.others(leader)
         first = await leader.put_service("demo", kinds=WORK_ORDER)
         await fleet.in_force(first.revision)
         for vm in fleet.vms:
-            await until(lambda vm=vm: complete(vm), f"{vm.vm_id} answers in full")
+            await until(lambda vm=vm: complete_answer(vm), f"{vm.vm_id} answers completely")
 
         for relay in links.between(leader):
             relay.cut()
-        other = await fleet.leader(rest)
-        second = await other.put_service("later")
+        new_leader = await fleet.leader(remaining)
+        second = await new_leader.put_service("later")
         with pytest.raises((NoQuorum, ProposalOutcomeUnknown)):
             await leader.put_service("refused", timeout_s=1.5)
         assert await leader.role() != "leader"
 
-        body = await until(lambda: stale(leader), "the answer says that it is stale")
+        body = await until(lambda: stale_answer(leader), "the answer reports a stale configuration")
         assert body["coverage"]["answered"] == 2
         assert body["config"]["revision"] == first.revision
         status, body = await leader.request(
@@ -64,9 +64,9 @@
         )
         assert status >= 400 and body["error"]["outcome"] == "unknown"
         assert (await standin.effects()).get("cut", 0) == 0
-        shown = {vm.record.vm_id: vm for vm in (await other.status()).vms}
-        assert not shown[leader.vm_id].reachable
-        dump = await other.dump()
+        status_by_vm = {vm.record.vm_id: vm for vm in (await new_leader.status()).vms}
+        assert not status_by_vm[leader.vm_id].reachable
+        dump = await new_leader.dump()
         assert "silent" in dump["consensus"]["lagging_members"][await node_id(leader)]
         assert "old" in (await leader.dump())["config"]["why"]
         assert "no leader" in (await leader.dump())["consensus"]["why"]
@@ -74,53 +74,53 @@
         for relay in links.between(leader):
             relay.heal()
         await fleet.in_force(second.revision, [leader])
-        await until(lambda: fresh(leader), "the VM is current again")
+        await until(lambda: current_answer(leader), "the VM has a current configuration again")
 
-    with_links(tmp_path, scenario)
+    run_with_links(tmp_path, scenario)
 
 
 async def node_id(vm):
     return (await vm.dump())["consensus"]["node_id"]
 
 
-async def complete(vm):
+async def complete_answer(vm):
     status, body = await vm.query()
     return status == 200 and body["outcome"] == "complete" and body
 
 
-async def stale(vm):
-    body = await complete(vm)
+async def stale_answer(vm):
+    body = await complete_answer(vm)
     return body and body["config"]["stale_ms"] > 0 and body
 
 
-async def fresh(vm):
-    body = await complete(vm)
+async def current_answer(vm):
+    body = await complete_answer(vm)
     return body and body["config"]["stale_ms"] == 0
 
 
 def test_silent_follower_delays_no_change(tmp_path):
-    # A connection that stays open and says nothing must not hold up the other followers.
+    # An open connection without data must not delay replication to the other followers.
     async def scenario(fleet, links):
         leader = await fleet.leader()
         silent, other = fleet.others(leader)
         for relay in links.between(silent):
             relay.freeze()
-        slowest = 0.0
+        slowest_s = 0.0
         for number in range(30):
             started = time.monotonic()
             reply = await other.put_service(f"s{number}")
-            slowest = max(slowest, time.monotonic() - started)
-        assert slowest < 1.0
+            slowest_s = max(slowest_s, time.monotonic() - started)
+        assert slowest_s < 1.0
         assert await leader.role() == "leader"
         for relay in links.between(silent):
             relay.heal()
         await fleet.in_force(reply.revision)
 
-    with_links(tmp_path, scenario)
+    run_with_links(tmp_path, scenario)
 
 
-def test_slow_links_neither_unseat_the_leader_nor_hold_up_changes(tmp_path):
-    # The round trip is longer than the heartbeat: messages must not pile up.
+def test_slow_links_neither_unseat_the_leader_nor_delay_changes(tmp_path):
+    # The round trip is longer than the heartbeat interval: messages must not queue up.
     async def scenario(fleet, links):
         leader = await fleet.leader()
         await leader.put_service("before")
@@ -136,4 +136,4 @@
         ]
         assert dropped == [0, 0]
 
-    with_links(tmp_path, scenario)
+    run_with_links(tmp_path, scenario)
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -1,4 +1,4 @@
-"""Real processes as the platform runs them: three voters, two entries, scripted targets."""
+"""Real processes as the platform runs them: three voters, two entry VMs, scripted targets."""
 
 from __future__ import annotations
 
@@ -38,56 +38,60 @@
     return await fleet.send("GET", "/all/q", None, entry.ip, ENTRY_PORT)
 
 
-async def report(fleet: Fleet, name: str, port: int) -> None:
-    """Send liveness reports of a target to any voter, as targets do."""
+async def send_reports(fleet: Fleet, name: str, port: int) -> None:
+    """Send liveness reports of a target to the voters in turn, as targets do."""
     for sequence in range(1, 1000):
         await fleet.report(name, f"t-{name}", f"127.0.0.1:{port}", sequence)
         await asyncio.sleep(0.3)
 
 
 async def scenario(fleet: Fleet) -> None:
-    early, late = fleet.entries
-    for machine in [*fleet.voters, early]:
-        machine.start(bootstrap=True)
-    late.start(bootstrap=True, seeds=[fleet.unused_ip])
+    configured, without_seeds = fleet.entries
+    for vm in [*fleet.voters, configured]:
+        vm.start(bootstrap=True)
+    without_seeds.start(bootstrap=True, seeds=[fleet.unused_ip])
     await fleet.put(config(1, 1))
 
-    async def served(entry: Machine, body: bytes) -> bool:
+    async def is_served(entry: Machine, body: bytes) -> bool:
         reply = await search(fleet, entry)
         return b" 200 " in reply[:20] and reply.endswith(b"\r\n\r\n" + body)
 
-    await until(lambda: served(early, b"b" * 16), f"{early.name} serves", 20)
-    assert b" 200 " not in (await search(fleet, late))[:20], "it knows no VM"
-    late.write_settings(fleet.seeds)  # and no signal
-    await until(lambda: served(late, b"b" * 16), f"{late.name} serves", 10)
+    await until(lambda: is_served(configured, b"b" * 16), f"{configured.name} serves", 20)
+    assert b" 200 " not in (await search(fleet, without_seeds))[:20], "its seeds are unreachable"
+    without_seeds.write_settings(fleet.seeds)  # without a signal
+    await until(lambda: is_served(without_seeds, b"b" * 16), f"{without_seeds.name} serves", 10)
 
-    lost = fleet.voters[0]
-    lost.process.signal(signal.SIGKILL)
-    shutil.rmtree(lost.data)
+    lost_voter = fleet.voters[0]
+    lost_voter.process.signal(signal.SIGKILL)
+    shutil.rmtree(lost_voter.data)
     await fleet.put(config(2, 2))
     for entry in fleet.entries:
-        both = b"b" * 16 + b"a" * 16
-        await until(lambda e=entry, b=both: served(e, b), f"{entry.name} has the change", 10)
-    lost.start()
+        both_parts = b"b" * 16 + b"a" * 16
+        await until(
+            lambda e=entry, b=both_parts: is_served(e, b), f"{entry.name} has the change", 10
+        )
+    lost_voter.start()
 
-    async def reads_newest() -> bool:
-        return await fleet.read(lost) == config(2, 2)
+    async def has_newest() -> bool:
+        return await fleet.read(lost_voter) == config(2, 2)
 
-    await until(reads_newest, "the VM with the new disk reads the newest table", 10)
+    await until(has_newest, "the voter with the new disk reads the newest configuration", 10)
     await asyncio.sleep(1.5)
     fleet.voters[1].process.signal(signal.SIGKILL)
-    await fleet.put(config(3, 1))  # needs the repaired VM as a voter
+    await fleet.put(config(3, 1))  # needs the vote of the repaired VM
 
     entry = fleet.entries[0]
     entry.process.signal(signal.SIGTERM)
     ready = await fleet.send("GET", "/-/ready", None, entry.ip, READY_PORT)
     assert b" 503 " in ready[:20]
-    assert b" 200 " in (await search(fleet, entry))[:20], "it serves while the platform notices"
+    assert b" 200 " in (await search(fleet, entry))[:20], (
+        "it serves until the platform sees that it is not ready"
+    )
     await until(lambda: entry.process.exit_code is not None, "the entry ends", 6)
     assert entry.process.exit_code == 0
 
 
-def test_the_whole_path_survives_a_lost_disk_a_killed_voter_and_a_planned_stop(tmp_path):
+def test_requests_are_served_after_a_lost_disk_a_killed_voter_and_a_planned_stop(tmp_path):
     async def body() -> None:
         fleet = Fleet(tmp_path)
         targets = {name: FakeTarget(lambda r, n=name: ok(r, n.encode() * 16)) for name in "ab"}
@@ -96,7 +100,7 @@
             async with asyncio.timeout(90):
                 for name, target in targets.items():
                     await target.start()
-                    reports.append(asyncio.ensure_future(report(fleet, name, target.port)))
+                    reports.append(asyncio.ensure_future(send_reports(fleet, name, target.port)))
                 await scenario(fleet)
         finally:
             for task in reports:
@@ -125,8 +129,8 @@
         process.reap()
 
 
-def test_a_voter_with_a_damaged_log_comes_back_by_itself(tmp_path):
-    """Guards against a VM that ends at each start, for good, after its disk was damaged."""
+def test_a_voter_with_a_damaged_log_recovers_without_an_operator(tmp_path):
+    """Guards against a VM that exits at each start after its log was damaged."""
 
     async def body() -> None:
         fleet = Fleet(tmp_path)
@@ -145,10 +149,10 @@
                 damaged.start()
                 await fleet.put(config(2, 2))
 
-                async def reads_newest() -> bool:
+                async def has_newest() -> bool:
                     return await fleet.read(damaged) == config(2, 2)
 
-                await until(reads_newest, "the damaged VM reads the newest table", 10)
+                await until(has_newest, "the damaged voter reads the newest configuration", 10)
         finally:
             for process in fleet.processes:
                 process.reap()
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and each seed that ever failed."""
+"""A short seeded run of the soak, and each seed that failed before."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 pytestmark = pytest.mark.process
 
-SEEDS = {1: "a short run of its own"}
-"""Seeds with the reason why they are played; one that failed stays, with a line on the cause."""
+SEEDS = {1: "a short run"}
+"""Seeds with the reason to run them; a seed that failed stays, with a line on the cause."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_short_soak_keeps_all_promises(seed, tmp_path):
+def test_a_short_soak_violates_no_guarantee(seed, tmp_path):
     report = play(seed, 5.0, tmp_path)
     assert report["violations"] == []
     assert report["faults"] and report["requests"]["served"] > 100
--- a/tests/test_process_whole_path.py
+++ b/tests/test_process_whole_path.py
@@ -1,4 +1,4 @@
-"""Real daemons: the way of a query, of a change and of a stop through the whole system."""
+"""Real daemons: queries, changes and restarts through the whole system."""
 
 import asyncio
 import subprocess
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture(scope="module")
-def world(tmp_path_factory):
-    """Three voters and an entry VM without a disk, with targets; shared by gentle tests."""
+def shared_fleet(tmp_path_factory):
+    """Yield three voters and an entry VM with targets, shared by tests that stop no process."""
     with asyncio.Runner() as runner:
 
         async def start():
@@ -36,35 +36,35 @@
         fleet.close()
 
 
-async def answered(vm):
+async def answer_of(vm):
     status, body = await vm.query()
     return status == 200 and body
 
 
-async def covered(vm):
+async def complete_answer(vm):
     status, body = await vm.query()
     return status == 200 and body["coverage"]["answered"] == 4 and body
 
 
-def test_search_through_every_vm_is_complete(world):
-    runner, fleet = world
+def test_search_through_every_vm_is_complete(shared_fleet):
+    runner, fleet = shared_fleet
 
     async def scenario():
         for vm in fleet.vms:
-            body = await until(lambda vm=vm: covered(vm), f"complete answer of {vm.vm_id}")
+            body = await until(lambda vm=vm: complete_answer(vm), f"complete answer of {vm.vm_id}")
             assert body["outcome"] == "complete" and body["coverage"]["total"] == 4
             assert body["result"] and body["config"]["stale_ms"] == 0
 
     runner.run(scenario())
 
 
-def test_unknown_service_is_a_typed_error(world):
-    runner, fleet = world
+def test_unknown_service_is_a_typed_error(shared_fleet):
+    runner, fleet = shared_fleet
     status, body = runner.run(fleet.vms[3].query(service="nothing"))
     assert status == 404 and body["error"]["name"] == "UnknownService"
 
 
-FRAGMENTS = [
+MALFORMED_DATA = [
     b"\x00" * 40,
     b"GET / HTTP/1.1\r\nHost",
     b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
@@ -73,9 +73,9 @@
 ]
 
 
-def test_truncated_frames_disturb_nobody_else(world):
-    # Guards against a listener or a loop that a broken peer can stop.
-    runner, fleet = world
+def test_malformed_data_does_not_affect_other_connections(shared_fleet):
+    # Guards against a listener or an event loop that malformed data can stop.
+    runner, fleet = shared_fleet
     vm = fleet.vms[3]
 
     async def send(port, data):
@@ -86,33 +86,35 @@
         writer.transport.abort()
 
     async def scenario():
-        pairs = [(port, data) for port in (vm.http, vm.grpc) for data in FRAGMENTS]
+        pairs = [(port, data) for port in (vm.http, vm.grpc) for data in MALFORMED_DATA]
         await asyncio.gather(*(send(port, data) for port, data in pairs))
-        assert (await until(lambda: covered(vm), "a complete answer"))["outcome"] == "complete"
+        assert (await until(lambda: complete_answer(vm), "a complete answer"))[
+            "outcome"
+        ] == "complete"
         assert await vm.revision() >= 1
 
     runner.run(scenario())
 
 
-def test_changes_are_in_force_everywhere_within_two_seconds(world):
-    # 20 changes through all VMs in turn, entry VM included. Guards against a change that waits
-    # for the next gossip round or exchange.
-    runner, fleet = world
+def test_changes_are_in_force_everywhere_within_two_seconds(shared_fleet):
+    # 20 changes through all VMs in turn, including the entry VM. Guards against a change that
+    # waits for the next gossip round or synchronization.
+    runner, fleet = shared_fleet
 
     async def scenario():
-        slowest = 0.0
+        slowest_s = 0.0
         for number in range(20):
             reply = await fleet.vms[number % 4].put_service(f"s{number}")
             accepted = time.monotonic()
             await fleet.in_force(reply.revision)
-            slowest = max(slowest, time.monotonic() - accepted)
-        assert slowest < 2.0
+            slowest_s = max(slowest_s, time.monotonic() - accepted)
+        assert slowest_s < 2.0
 
     runner.run(scenario())
 
 
-def test_resend_through_another_vm_gets_the_first_answer(world):
-    runner, fleet = world
+def test_change_resent_through_another_vm_gets_the_first_reply(shared_fleet):
+    runner, fleet = shared_fleet
 
     async def scenario():
         change_id = uuid.uuid4().hex
@@ -124,8 +126,8 @@
     runner.run(scenario())
 
 
-def test_race_with_equal_versions_has_one_winner(world):
-    runner, fleet = world
+def test_only_one_of_concurrent_changes_with_the_same_version_is_accepted(shared_fleet):
+    runner, fleet = shared_fleet
 
     async def scenario():
         base = (await fleet.vms[0].put_service("raced")).version
@@ -136,22 +138,22 @@
             ),
             return_exceptions=True,
         )
-        won = [r for r in results if not isinstance(r, Exception)]
-        lost = [r for r in results if isinstance(r, VersionConflict)]
-        assert len(won) == 1 and len(lost) == 3
-        assert {error.current_version for error in lost} == {won[0].version}
+        accepted = [r for r in results if not isinstance(r, Exception)]
+        conflicts = [r for r in results if isinstance(r, VersionConflict)]
+        assert len(accepted) == 1 and len(conflicts) == 3
+        assert {error.current_version for error in conflicts} == {accepted[0].version}
 
     runner.run(scenario())
 
 
-def test_invalid_change_is_refused_with_its_reason(world):
-    runner, fleet = world
+def test_invalid_change_is_refused_with_its_reason(shared_fleet):
+    runner, fleet = shared_fleet
     with pytest.raises(InvalidChange, match="classes"):
         runner.run(fleet.vms[3].put_service("bad", classes=["sometimes"]))
 
 
-def test_status_and_dump_show_every_vm_and_part(world):
-    runner, fleet = world
+def test_status_shows_every_vm_and_dump_every_section(shared_fleet):
+    runner, fleet = shared_fleet
 
     async def scenario():
         leader = await fleet.leader()
@@ -167,8 +169,8 @@
     runner.run(scenario())
 
 
-def test_vm_that_starts_alone_serves_the_revision_of_its_folder(tmp_path):
-    # A cut-off VM must not come back on an older configuration, nor claim to be current.
+def test_vm_that_starts_alone_serves_its_stored_revision(tmp_path):
+    # An isolated VM must not restart with an older configuration or report it as current.
     async def scenario(fleet):
         fleet.standin(shards=2, replicas=3, domains="a,b,c")
         await fleet.vms[0].put_service("other")
@@ -178,11 +180,11 @@
             vm.kill()
         alone = fleet.vms[1]
         alone.start()
-        await until(lambda: alone.status(local=True), "the VM answers operators")
+        await until(lambda: alone.status(local=True), "the VM responds to operators")
         assert not await alone.ready()
         await until(alone.ready, "the VM is ready without the others")
-        # The targets still have to find the one VM that is left.
-        body = await until(lambda: answered(alone), "the VM answers")
+        # The targets have to reconnect to the only running VM first.
+        body = await until(lambda: answer_of(alone), "the VM answers")
         assert body["config"]["revision"] == reply.revision
         assert body["config"]["stale_ms"] > 0
 
@@ -193,8 +195,8 @@
     path = tmp_path / "bad.toml"
     path.write_text('[vm]\nid = ""\n[listen]\nhttp = "nowhere"\n')
     code = "from bramleycrank.daemon.main import main; main()"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code, f"--settings={path}"], capture_output=True, timeout=30
     )
-    assert done.returncode == 2
-    assert all(key in done.stderr for key in (b"vm.id", b"vm.domain", b"listen.http"))
+    assert completed.returncode == 2
+    assert all(key in completed.stderr for key in (b"vm.id", b"vm.domain", b"listen.http"))
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The soak finds each promise that is broken; evidence that keeps them all passes."""
+"""The checks of the soak find each violated guarantee and accept sound evidence."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from soak.report import build, kind_of
 from soak.targets import HOLD_S, RECORD_BYTES, Ledger, records
 
-TOP = 4
+TOP_K = 4
 
 
-def greatest(request_id: str, services) -> bytes:
-    whole = b"".join(records(service, request_id) for service in services)
-    every = [whole[i : i + RECORD_BYTES] for i in range(0, len(whole), RECORD_BYTES)]
-    return b"".join(heapq.nlargest(TOP, every))
+def greatest_records(request_id: str, services) -> bytes:
+    parts = b"".join(records(service, request_id) for service in services)
+    all_records = [parts[i : i + RECORD_BYTES] for i in range(0, len(parts), RECORD_BYTES)]
+    return b"".join(heapq.nlargest(TOP_K, all_records))
 
 
 def outcome(request_id="r1", path="/all/q", status=200, **fields) -> Outcome:
@@ -26,7 +26,7 @@
     return Outcome(request_id, path, status=status, **{**defaults, **fields})
 
 
-def sound() -> Evidence:
+def sound_evidence() -> Evidence:
     """Return evidence of one gathered request, one refusal and one planned stop."""
     ledger = Ledger()
     for service in SHARDS:
@@ -34,36 +34,36 @@
         ledger.runs["r1"].append(f"{service}-x")
         ledger.arrivals[service].append((1.0, "r1"))
     headers = {"x-part-stamps": ", ".join(f"{s}.1" for s in SHARDS), "x-missing-parts": "0"}
-    merged = outcome(headers=headers, body=greatest("r1", SHARDS))
+    merged = outcome(headers=headers, body=greatest_records("r1", SHARDS))
     refused = outcome("r2", "/order/q", 503)
     events = [Event("stop", "edge-x", 5.0, 8.0)]
-    return Evidence([merged, refused], ledger, events, {TOP})
+    return Evidence([merged, refused], ledger, events, {TOP_K})
 
 
-def test_evidence_that_keeps_all_promises_passes():
-    assert violations(sound()) == []
+def test_sound_evidence_has_no_violations():
+    assert violations(sound_evidence()) == []
 
 
 def wrong_body(evidence):
-    evidence.outcomes[0].body = greatest("r2", SHARDS)
+    evidence.outcomes[0].body = greatest_records("r2", SHARDS)
 
 
-def stray_receipt(evidence):
+def receipt_of_another_request(evidence):
     evidence.ledger.receipts["s0.1"] = ("s0", "r9")
 
 
-def part_twice(evidence):
+def duplicate_part(evidence):
     evidence.outcomes[0].headers["x-part-stamps"] = "s0.1, s0.1, s1.1, s2.1"
 
 
-def uncounted_part(evidence):
+def missing_part_not_counted(evidence):
     evidence.outcomes[0].headers["x-part-stamps"] = "s0.1, s1.1, s2.1"
-    evidence.outcomes[0].body = greatest("r1", SHARDS[:3])
+    evidence.outcomes[0].body = greatest_records("r1", SHARDS[:3])
 
 
 def too_few_parts(evidence):
     evidence.outcomes[0].headers.update({"x-part-stamps": "s0.1, s1.1", "x-missing-parts": "2"})
-    evidence.outcomes[0].body = greatest("r1", SHARDS[:2])
+    evidence.outcomes[0].body = greatest_records("r1", SHARDS[:2])
 
 
 def refused_but_run(evidence):
@@ -82,11 +82,11 @@
     evidence.ledger.runs["r1"] += ["s0-y", "s0-z"]
 
 
-def cut_by_a_stop(evidence):
+def interrupted_by_a_stop(evidence):
     evidence.outcomes.append(outcome("r3", "/one/q", -1, sent=5.0, ended=6.0))
 
 
-def too_many_extras(evidence):
+def too_many_extra_sub_requests(evidence):
     evidence.ledger.arrivals["s0"] += [(1.0, "r1")] * 60
 
 
@@ -101,16 +101,16 @@
     evidence.ledger.returns["s0-x"] = [1.2 + DRAIN_S]
 
 
-@pytest.mark.parametrize("spoil", [asked_while_held, asked_while_leaving])
-def test_a_vm_that_was_frozen_meanwhile_is_excused(spoil):
-    evidence = sound()
-    spoil(evidence)
+@pytest.mark.parametrize("introduce_violation", [asked_while_held, asked_while_leaving])
+def test_a_vm_that_was_frozen_in_the_period_is_not_reported(introduce_violation):
+    evidence = sound_evidence()
+    introduce_violation(evidence)
     evidence.events = [Event("freeze", "edge-x", 1.5, 2.5)]
     assert violations(evidence) == []
 
 
-def test_targets_are_asked_again_after_a_hold_and_as_a_new_incarnation():
-    evidence = sound()
+def test_requests_after_a_hold_or_to_a_new_incarnation_are_allowed():
+    evidence = sound_evidence()
     evidence.events = []
     ledger = evidence.ledger
     ledger.holds["s0-x"] = [(1.0, "r1")]
@@ -122,37 +122,37 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "introduce_violation",
     [
         asked_while_held,
         asked_while_leaving,
         wrong_body,
-        stray_receipt,
-        part_twice,
-        uncounted_part,
+        receipt_of_another_request,
+        duplicate_part,
+        missing_part_not_counted,
         too_few_parts,
         refused_but_run,
         run_twice,
         too_many_attempts,
-        cut_by_a_stop,
-        too_many_extras,
+        interrupted_by_a_stop,
+        too_many_extra_sub_requests,
     ],
 )
-def test_each_broken_promise_is_found(spoil):
-    evidence = sound()
-    spoil(evidence)
+def test_each_violation_is_found(introduce_violation):
+    evidence = sound_evidence()
+    introduce_violation(evidence)
     assert len(violations(evidence)) == 1
 
 
 @pytest.mark.parametrize(("sent", "ended"), [(1.0, 2.0), (5.9, 6.0)])
-def test_a_cut_outside_a_stop_or_before_the_request_was_read_is_allowed(sent, ended):
-    evidence = sound()
+def test_a_closed_connection_outside_a_stop_or_before_the_request_was_read_is_allowed(sent, ended):
+    evidence = sound_evidence()
     evidence.outcomes.append(outcome("r3", "/one/q", -1, sent=sent, ended=ended))
     assert violations(evidence) == []
 
 
-def test_the_report_counts_by_second_and_names_the_faults():
-    evidence = sound()
+def test_the_report_counts_outcomes_by_second_and_lists_the_faults():
+    evidence = sound_evidence()
     evidence.outcomes.append(outcome("r4", status=200, sent=2.5, ended=3.5))
     report = build(7, 1.0, evidence.outcomes, evidence.events, [])
     assert report["requests"] == {"served": 1, "refused": 1, "late": 1}
