--- a/harness/platform_fleet.py
+++ b/harness/platform_fleet.py
@@ -29,12 +29,12 @@
 CONTROL_PORT, ENTRY_PORT, READY_PORT = 18224, 18226, 18227
 
 
-class Machine:
+class PlatformVm:
     """A VM of the platform at its own loopback address."""
 
     def __init__(self, fleet: Fleet, name: str, ip: str, zone: str, voter: bool) -> None:
         self.fleet, self.name, self.ip, self.zone, self.voter = fleet, name, ip, zone, voter
-        self.data = fleet.folder / f"{name}-data"
+        self.data_dir = fleet.folder / f"{name}-data"
         self.process: Process | None = None
 
     @property
@@ -45,7 +45,7 @@
     def write_settings(self, seeds: list[str], *, bootstrap: bool = False) -> None:
         """Write the settings file as the platform does."""
         if self.voter:
-            listen = f"BindAddrs.Control={self.ip}:{CONTROL_PORT}\nDataDir={self.data}"
+            listen = f"BindAddrs.Control={self.ip}:{CONTROL_PORT}\nDataDir={self.data_dir}"
         else:
             listen = (
                 f"BindAddrs.EdgeAddr={self.ip}:{ENTRY_PORT}\n"
@@ -93,11 +93,11 @@
         self.unused_ip = f"{ip_prefix}.99"
         zones = "xyz"
         self.voters = [
-            Machine(self, f"core-{zone}", ip, zone, True)
+            PlatformVm(self, f"core-{zone}", ip, zone, True)
             for zone, ip in zip(zones, self.seeds, strict=True)
         ]
         self.entries = [
-            Machine(self, f"edge-{zone}", f"{ip_prefix}.{21 + n}", zone, False)
+            PlatformVm(self, f"edge-{zone}", f"{ip_prefix}.{21 + n}", zone, False)
             for n, zone in enumerate(zones[:entries])
         ]
 
@@ -152,7 +152,7 @@
 
         await until(is_accepted, "a configuration is accepted", 20)
 
-    async def read(self, voter: Machine) -> dict:
+    async def read(self, voter: PlatformVm) -> dict:
         """Return the newest configuration that a voter confirms; empty if it cannot."""
         reply = await self.send("GET", "/-/config", None, voter.ip, CONTROL_PORT)
         head, _, body = reply.partition(b"\r\n\r\n")
--- a/harness/relay.py
+++ b/harness/relay.py
@@ -35,7 +35,7 @@
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
-    def cut(self) -> None:
+    def refuse_connections(self) -> None:
         """Abort all connections, and new ones as soon as they are accepted."""
         self._refusing = True
         self.reset()
@@ -58,7 +58,7 @@
         """Stop listening and abort all connections."""
         self._server.close()
         self.heal()
-        self.cut()
+        self.refuse_connections()
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=1.0)
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,7 +10,7 @@
 
 import fire
 
-from soak.run import play
+from soak.run import run_seed
 
 FAULT_PERIOD_S = 12.0
 """Time during which new faults start in one run."""
@@ -36,7 +36,7 @@
     folder = Path(out or tempfile.mkdtemp(prefix="bramleycrank-soak-"))
     failed = []
     for number in range(first, first + seeds):
-        result = play(number, seconds, folder / str(number))
+        result = run_seed(number, seconds, folder / str(number))
         line = {key: result[key] for key in ("seed", "requests", "violations", "played_s")}
         print(json.dumps({**line, "faults": len(result["faults"])}), flush=True)
         if result["violations"]:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from harness.platform_fleet import ENTRY_PORT, Machine
+from harness.platform_fleet import ENTRY_PORT, PlatformVm
 
 DEADLINE_S = 2.5
 """Deadline of a request; a caller waits no longer for the answer."""
@@ -45,7 +45,7 @@
     ----------
     name : str
         Prefix of its request ids.
-    entry : Machine
+    entry : PlatformVm
         The entry VM to which it connects.
     outcomes : list of Outcome
         List to which the result of each request is appended.
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, name: str, entry: Machine, outcomes: list[Outcome], rng: random.Random
+        self, name: str, entry: PlatformVm, outcomes: list[Outcome], rng: random.Random
     ) -> None:
         self._name = name
         self._entry = entry
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -11,7 +11,7 @@
 
 from soak.callers import Outcome
 from soak.faults import Event
-from soak.targets import HOLD_S, RECORD_BYTES, Ledger, records
+from soak.targets import HOLD_S, RECORD_BYTES, TargetObservations, records
 
 SHARDS = ("s0", "s1", "s2", "s3")
 SINGLE = "single"
@@ -47,7 +47,7 @@
     """
 
     outcomes: list[Outcome]
-    ledger: Ledger
+    observations: TargetObservations
     events: list[Event]
     top_ks: set[int]
 
@@ -70,7 +70,7 @@
 
 def _check_answers(evidence: Evidence) -> Iterator[str]:
     for outcome in evidence.outcomes:
-        if outcome.status == 503 and evidence.ledger.runs.get(outcome.request_id):
+        if outcome.status == 503 and evidence.observations.runs.get(outcome.request_id):
             yield f"{outcome.request_id}: refused with status 503, but a target ran it"
         if outcome.status == 200:
             error = _answer_error(outcome, evidence)
@@ -81,7 +81,7 @@
 def _answer_error(outcome: Outcome, evidence: Evidence) -> str:
     gather = outcome.path.startswith("/all")
     field = outcome.headers.get("x-part-stamps" if gather else "x-server-stamp", "")
-    known = [evidence.ledger.receipts.get(r) for r in field.split(", ")]
+    known = [evidence.observations.receipts.get(r) for r in field.split(", ")]
     if not all(known) or any(request_id != outcome.request_id for _, request_id in known):
         return f"a receipt belongs to another request: {field}"
     services = [service for service, _ in known]
@@ -101,7 +101,7 @@
 
 def _check_executions(evidence: Evidence) -> Iterator[str]:
     paths = {outcome.request_id: outcome.path for outcome in evidence.outcomes}
-    for request_id, runs in evidence.ledger.runs.items():
+    for request_id, runs in evidence.observations.runs.items():
         max_runs = 1 if paths.get(request_id, "").startswith("/order") else MAX_ATTEMPTS
         services = Counter(target_id.partition("-")[0] for target_id in runs)
         for service, count in services.items():
@@ -118,16 +118,16 @@
             is_interrupted = outcome.entry == event.where and outcome.status == -1
             if not is_interrupted or not event.since <= outcome.ended <= event.until:
                 continue
-            is_forwarded = outcome.request_id in evidence.ledger.runs
+            is_forwarded = outcome.request_id in evidence.observations.runs
             if is_forwarded or outcome.ended - outcome.sent > LOSS_SLACK_S:
                 yield f"{outcome.request_id}: interrupted by the stop of {event.where}"
 
 
 def _check_holds_and_leaving(evidence: Evidence) -> Iterator[str]:
     """Yield targets that a VM kept asking after they sent it a hold or announced to leave."""
-    ledger = evidence.ledger
+    observations = evidence.observations
     entries = {outcome.request_id: outcome.entry for outcome in evidence.outcomes}
-    for target_id, signals in ledger.holds.items():
+    for target_id, signals in observations.holds.items():
         for at, request_id in signals:
             entry = entries.get(request_id)
             late = _requests_in_period(
@@ -135,10 +135,10 @@
             )
             if len(late) > MAX_HOLD_TRIALS:
                 yield f"{target_id}: {len(late)} requests during its hold: {late}"
-    for target_id, signals in ledger.leaves.items():
+    for target_id, signals in observations.leaves.items():
         first_signal = {entries.get(request_id): at for at, request_id in reversed(signals)}
         for entry, at in first_signal.items():
-            until = min((t for t in ledger.returns[target_id] if t > at), default=math.inf)
+            until = min((t for t in observations.restarts[target_id] if t > at), default=math.inf)
             late = _requests_in_period(evidence, entries, target_id, entry, at + DRAIN_S, until)
             if late:
                 yield f"{target_id}: requests after it announced that it leaves: {late}"
@@ -162,17 +162,17 @@
     )
     if entry is None or disturbed:
         return []
-    asked = evidence.ledger.asked[target_id]
+    asked = evidence.observations.target_requests[target_id]
     return [other for at, other in asked if since < at < until and entries.get(other) == entry]
 
 
 def _check_retry_budgets(evidence: Evidence) -> Iterator[str]:
-    for service, arrivals in evidence.ledger.arrivals.items():
+    for service, received in evidence.observations.service_requests.items():
         single = service == SINGLE
         asked = sorted(o.sent for o in evidence.outcomes if o.path.startswith("/all") != single)
         seen_ids: set[str] = set()
         extra_times = []
-        for at, request_id in arrivals:
+        for at, request_id in received:
             if request_id in seen_ids:
                 extra_times.append(at)
             seen_ids.add(request_id)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from harness.platform_fleet import Fleet, Machine
+from harness.platform_fleet import Fleet, PlatformVm
 from soak.proxy import Mode
 from soak.targets import Fault, SoakTarget
 
@@ -73,7 +73,7 @@
 
     def _start_fault(
         self,
-        subject: SoakTarget | Machine,
+        subject: SoakTarget | PlatformVm,
         fault: Callable[..., Awaitable[None]],
         key: object = None,
     ) -> None:
@@ -116,12 +116,12 @@
             self._sleep_random(3.5, 5.0) if target.fault is Fault.LEAVES else self._sleep_random()
         )
         if target.fault is Fault.LEAVES:
-            target.return_anew()
+            target.start_new_incarnation()
         target.fault, target.reporting = Fault.NONE, True
         target.proxy.set(Mode.PASS)
         event.until = self._loop.time()
 
-    async def _inject_vm_fault(self, vm: Machine) -> None:
+    async def _inject_vm_fault(self, vm: PlatformVm) -> None:
         kinds = ["stop", "kill", "freeze", "hup"]
         if vm.voter:
             kinds += ["kill and lose the disk", "kill and tear the log"]
@@ -140,7 +140,7 @@
             vm.process.signal(signal.SIGKILL)
             await self._sleep_random(0.1, 2.0)
             if kind == "kill and lose the disk":
-                shutil.rmtree(vm.data)
+                shutil.rmtree(vm.data_dir)
             elif kind == "kill and tear the log":
                 self._append_torn_write(vm)
             vm.start()
@@ -148,7 +148,7 @@
         # The VM counts as faulty until it has caught up.
         await self._sleep_random(4.0, 5.0)
 
-    async def _stop_vm(self, vm: Machine) -> None:
+    async def _stop_vm(self, vm: PlatformVm) -> None:
         vm.process.signal(signal.SIGTERM)
         end = self._loop.time() + GRACE_S
         while vm.process.exit_code is None and self._loop.time() < end:
@@ -159,9 +159,9 @@
             )
             vm.process.signal(signal.SIGKILL)
 
-    def _append_torn_write(self, vm: Machine) -> None:
+    def _append_torn_write(self, vm: PlatformVm) -> None:
         """Append a torn write after the synced end of the log, as a power loss does."""
-        newest = max(vm.data.glob("log-*"), key=lambda path: path.name, default=None)
+        newest = max(vm.data_dir.glob("log-*"), key=lambda path: path.name, default=None)
         if newest is not None:
             with newest.open("ab") as file:
                 file.write(self._rng.randbytes(self._rng.randint(1, 40)))
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -37,7 +37,7 @@
         self._mode = mode
         self.delay_s = delay_s if mode is Mode.DELAY else 0.0
         if mode is Mode.REFUSE:
-            self.cut()
+            self.refuse_connections()
         else:
             self.heal()
 
--- a/soak/report.py
+++ b/soak/report.py
@@ -24,7 +24,7 @@
 }
 
 
-def kind_of(outcome: Outcome) -> str:
+def classify_outcome(outcome: Outcome) -> str:
     """Return the category of a request outcome."""
     if outcome.status == 503:
         return "refused"
@@ -45,11 +45,13 @@
     """Return the report of a run, with times in seconds from its start."""
     seconds: dict[int, Counter[str]] = {}
     for outcome in outcomes:
-        seconds.setdefault(int(outcome.sent - started_at), Counter())[kind_of(outcome)] += 1
+        seconds.setdefault(int(outcome.sent - started_at), Counter())[
+            classify_outcome(outcome)
+        ] += 1
     return {
         "seed": seed,
         "violations": violations,
-        "requests": dict(Counter(map(kind_of, outcomes))),
+        "requests": dict(Counter(map(classify_outcome, outcomes))),
         "by_second": {str(second): dict(seconds[second]) for second in sorted(seconds)},
         "faults": [
             {
--- a/soak/run.py
+++ b/soak/run.py
@@ -14,7 +14,7 @@
 from soak import checks, report
 from soak.callers import Caller, Outcome
 from soak.faults import Injector
-from soak.targets import Ledger, SoakTarget
+from soak.targets import SoakTarget, TargetObservations
 
 ENTRIES = 3
 CALLERS = 4
@@ -35,7 +35,7 @@
 ZONES = "xyz"
 
 
-class Run:
+class SoakRun:
     """One run of the soak with a seed.
 
     Parameters
@@ -54,20 +54,22 @@
         self._folder = folder
         self._rng = random.Random(seed)
         self._fleet = Fleet(folder, ENTRIES)
-        self._ledger = Ledger()
+        self._observations = TargetObservations()
         self._outcomes: list[Outcome] = []
         self._violations: list[str] = []
         self._top_ks: set[int] = set()
         self._acknowledged = 0
         self._targets = [
-            SoakTarget(service, f"{service}-{zone}", zone, self._ledger, random.Random(seed + n))
+            SoakTarget(
+                service, f"{service}-{zone}", zone, self._observations, random.Random(seed + n)
+            )
             for n, (service, zone) in enumerate(
                 itertools.product((*checks.SHARDS, checks.SINGLE), ZONES)
             )
         ]
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> dict[str, Any]:
+    async def execute(self) -> dict[str, Any]:
         """Execute the run, write the report and return it."""
         started_at = asyncio.get_running_loop().time()
         injector = Injector(self._fleet, self._targets, self._rng)
@@ -83,7 +85,9 @@
                 process.reap()
             for target in self._targets:
                 await target.stop()
-        evidence = checks.Evidence(self._outcomes, self._ledger, injector.events, self._top_ks)
+        evidence = checks.Evidence(
+            self._outcomes, self._observations, injector.events, self._top_ks
+        )
         violations = [*self._violations, *injector.problems, *checks.violations(evidence)]
         result = report.build(self._seed, started_at, self._outcomes, injector.events, violations)
         report.write(result, self._folder)
@@ -184,7 +188,7 @@
     }
 
 
-def play(seed: int, seconds: float, folder: Path) -> dict[str, Any]:
+def run_seed(seed: int, seconds: float, folder: Path) -> dict[str, Any]:
     """Run one seed and return its report.
 
     Raises
@@ -194,6 +198,6 @@
     """
     folder.mkdir(parents=True, exist_ok=True)
     started = time.monotonic()
-    result = asyncio.run(Run(seed, seconds, folder).play())
+    result = asyncio.run(SoakRun(seed, seconds, folder).execute())
     result["played_s"] = round(time.monotonic() - started, 1)
     return result
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -48,17 +48,17 @@
 """Retry-After of a target with `Fault.HOLDS`."""
 
 
-class Ledger:
+class TargetObservations:
     """Requests and signals of all targets; times are seconds of the event loop's clock."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[str]] = defaultdict(list)
         self.receipts: dict[str, tuple[str, str]] = {}
-        self.arrivals: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self.asked: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.service_requests: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self.target_requests: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.holds: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.leaves: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self.returns: dict[str, list[float]] = defaultdict(list)
+        self.restarts: dict[str, list[float]] = defaultdict(list)
 
 
 class SoakTarget:
@@ -68,22 +68,27 @@
     ----------
     service, target_id, zone : str
         Identity and zone of the target.
-    ledger : Ledger
+    observations : TargetObservations
         Shared by all targets.
     rng : random.Random
         Random numbers for service times and failures.
     """
 
     def __init__(
-        self, service: str, target_id: str, zone: str, ledger: Ledger, rng: random.Random
+        self,
+        service: str,
+        target_id: str,
+        zone: str,
+        observations: TargetObservations,
+        rng: random.Random,
     ) -> None:
         self.service, self.target_id, self.zone = service, target_id, zone
         self.fault = Fault.NONE
         self.reporting = True
-        self.born = 1
+        self.incarnation = 1
         self.proxy: Proxy | None = None
         self._address = ""
-        self._ledger = ledger
+        self._observations = observations
         self._rng = rng
         self._count = itertools.count(1)
         self._server: asyncio.Server | None = None
@@ -104,14 +109,19 @@
         for sequence in itertools.count(1):
             if self.reporting:
                 await fleet.report(
-                    self.service, self.target_id, self._address, sequence, self.zone, self.born
+                    self.service,
+                    self.target_id,
+                    self._address,
+                    sequence,
+                    self.zone,
+                    self.incarnation,
                 )
             await asyncio.sleep(REPORT_INTERVAL_S)
 
-    def return_anew(self) -> None:
+    def start_new_incarnation(self) -> None:
         """Continue as a new incarnation at the same address."""
-        self.born += 1
-        self._ledger.returns[self.target_id].append(asyncio.get_running_loop().time())
+        self.incarnation += 1
+        self._observations.restarts[self.target_id].append(asyncio.get_running_loop().time())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # The run cancels this task at its end; asyncio would log that as an error.
@@ -131,22 +141,22 @@
         request_id = fields[b"x-request-id"]
         loop = asyncio.get_running_loop()
         arrival = (loop.time(), request_id)
-        self._ledger.arrivals[self.service].append(arrival)
+        self._observations.service_requests[self.service].append(arrival)
         fault = self.fault
         not_executed = [b"X-Not-Executed: 1"]
         if fields.get(b"x-expect-instance") != self.target_id:
             writer.write(_response(421, request_id, not_executed, b""))
             return True
-        self._ledger.asked[self.target_id].append(arrival)
+        self._observations.target_requests[self.target_id].append(arrival)
         if fault is Fault.HOLDS:
-            self._ledger.holds[self.target_id].append(arrival)
+            self._observations.holds[self.target_id].append(arrival)
             hold = [*not_executed, b"Retry-After: %.1f" % HOLD_S]
             writer.write(_response(503, request_id, hold, b""))
             return True
         if fault is Fault.SHED and self._rng.random() < 0.5:
             writer.write(_response(503, request_id, not_executed, b""))
             return True
-        self._ledger.runs[request_id].append(self.target_id)
+        self._observations.runs[request_id].append(self.target_id)
         await asyncio.sleep(self._rng.uniform(0.002, 0.012) * (10 if fault is Fault.SLOW else 1))
         if fault is Fault.HANG:
             await asyncio.sleep(30)
@@ -165,10 +175,10 @@
                 writer.write(chunk)
                 await writer.drain()
         receipt = f"{self.target_id}.{next(self._count)}"
-        self._ledger.receipts[receipt] = (self.service, request_id)
+        self._observations.receipts[receipt] = (self.service, request_id)
         headers = [b"X-Server-Stamp: " + receipt.encode()]
         if fault is Fault.LEAVES:
-            self._ledger.leaves[self.target_id].append((loop.time(), request_id))
+            self._observations.leaves[self.target_id].append((loop.time(), request_id))
             headers.append(b"Server-Leaving: 1")
         writer.write(_response(200, request_id, headers, records(self.service, request_id)))
         return True
--- a/tests/test_process_links.py
+++ b/tests/test_process_links.py
@@ -49,7 +49,7 @@
             await until(lambda vm=vm: complete_answer(vm), f"{vm.vm_id} answers completely")
 
         for relay in links.between(leader):
-            relay.cut()
+            relay.refuse_connections()
         new_leader = await fleet.leader(remaining)
         second = await new_leader.put_service("later")
         with pytest.raises((NoQuorum, ProposalOutcomeUnknown)):
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -10,7 +10,7 @@
 import pytest
 from http_fakes import FakeTarget, ok
 
-from harness.platform_fleet import ENTRY_PORT, READY_PORT, Fleet, Machine
+from harness.platform_fleet import ENTRY_PORT, READY_PORT, Fleet, PlatformVm
 from harness.processes import Process, until
 
 pytestmark = pytest.mark.process
@@ -34,7 +34,7 @@
     return {"Version": version, "Routes": [route], "Services": services, "Limits": {}}
 
 
-async def search(fleet: Fleet, entry: Machine) -> bytes:
+async def search(fleet: Fleet, entry: PlatformVm) -> bytes:
     return await fleet.send("GET", "/all/q", None, entry.ip, ENTRY_PORT)
 
 
@@ -52,7 +52,7 @@
     without_seeds.start(bootstrap=True, seeds=[fleet.unused_ip])
     await fleet.put(config(1, 1))
 
-    async def is_served(entry: Machine, body: bytes) -> bool:
+    async def is_served(entry: PlatformVm, body: bytes) -> bool:
         reply = await search(fleet, entry)
         return b" 200 " in reply[:20] and reply.endswith(b"\r\n\r\n" + body)
 
@@ -63,7 +63,7 @@
 
     lost_voter = fleet.voters[0]
     lost_voter.process.signal(signal.SIGKILL)
-    shutil.rmtree(lost_voter.data)
+    shutil.rmtree(lost_voter.data_dir)
     await fleet.put(config(2, 2))
     for entry in fleet.entries:
         both_parts = b"b" * 16 + b"a" * 16
@@ -142,7 +142,7 @@
                 damaged = fleet.voters[2]
                 damaged.process.signal(signal.SIGKILL)
                 await until(lambda: damaged.process.exit_code is not None, "the VM is killed", 5)
-                [path] = damaged.data.glob("log-*")
+                [path] = damaged.data_dir.glob("log-*")
                 data = bytearray(path.read_bytes())
                 data[12] ^= 0xFF
                 path.write_bytes(data)
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from soak.run import play
+from soak.run import run_seed
 
 pytestmark = pytest.mark.process
 
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_short_soak_violates_no_guarantee(seed, tmp_path):
-    report = play(seed, 5.0, tmp_path)
+    report = run_seed(seed, 5.0, tmp_path)
     assert report["violations"] == []
     assert report["faults"] and report["requests"]["served"] > 100
     assert json.loads((tmp_path / "report.json").read_text())["seed"] == seed
--- a/tests/test_process_whole_path.py
+++ b/tests/test_process_whole_path.py
@@ -88,9 +88,7 @@
     async def scenario():
         pairs = [(port, data) for port in (vm.http, vm.grpc) for data in MALFORMED_DATA]
         await asyncio.gather(*(send(port, data) for port, data in pairs))
-        assert (await until(lambda: complete_answer(vm), "a complete answer"))[
-            "outcome"
-        ] == "complete"
+        assert (await until(lambda: complete_answer(vm), "an answer"))["outcome"] == "complete"
         assert await vm.revision() >= 1
 
     runner.run(scenario())
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -9,8 +9,8 @@
 from soak.callers import Outcome
 from soak.checks import DRAIN_S, SHARDS, SINGLE, Evidence, violations
 from soak.faults import Event
-from soak.report import build, kind_of
-from soak.targets import HOLD_S, RECORD_BYTES, Ledger, records
+from soak.report import build, classify_outcome
+from soak.targets import HOLD_S, RECORD_BYTES, TargetObservations, records
 
 TOP_K = 4
 
@@ -28,16 +28,16 @@
 
 def sound_evidence() -> Evidence:
     """Return evidence of one gathered request, one refusal and one planned stop."""
-    ledger = Ledger()
+    observations = TargetObservations()
     for service in SHARDS:
-        ledger.receipts[f"{service}.1"] = (service, "r1")
-        ledger.runs["r1"].append(f"{service}-x")
-        ledger.arrivals[service].append((1.0, "r1"))
+        observations.receipts[f"{service}.1"] = (service, "r1")
+        observations.runs["r1"].append(f"{service}-x")
+        observations.service_requests[service].append((1.0, "r1"))
     headers = {"x-part-stamps": ", ".join(f"{s}.1" for s in SHARDS), "x-missing-parts": "0"}
     merged = outcome(headers=headers, body=greatest_records("r1", SHARDS))
     refused = outcome("r2", "/order/q", 503)
     events = [Event("stop", "edge-x", 5.0, 8.0)]
-    return Evidence([merged, refused], ledger, events, {TOP_K})
+    return Evidence([merged, refused], observations, events, {TOP_K})
 
 
 def test_sound_evidence_has_no_violations():
@@ -49,7 +49,7 @@
 
 
 def receipt_of_another_request(evidence):
-    evidence.ledger.receipts["s0.1"] = ("s0", "r9")
+    evidence.observations.receipts["s0.1"] = ("s0", "r9")
 
 
 def duplicate_part(evidence):
@@ -67,19 +67,19 @@
 
 
 def refused_but_run(evidence):
-    evidence.ledger.runs["r2"].append(f"{SINGLE}-x")
+    evidence.observations.runs["r2"].append(f"{SINGLE}-x")
 
 
 def run_twice(evidence):
     evidence.outcomes[1].status = 200
     evidence.outcomes[1].headers["x-server-stamp"] = "single.1"
     evidence.outcomes[1].body = records(SINGLE, "r2")
-    evidence.ledger.receipts["single.1"] = (SINGLE, "r2")
-    evidence.ledger.runs["r2"] += [f"{SINGLE}-x", f"{SINGLE}-y"]
+    evidence.observations.receipts["single.1"] = (SINGLE, "r2")
+    evidence.observations.runs["r2"] += [f"{SINGLE}-x", f"{SINGLE}-y"]
 
 
 def too_many_attempts(evidence):
-    evidence.ledger.runs["r1"] += ["s0-y", "s0-z"]
+    evidence.observations.runs["r1"] += ["s0-y", "s0-z"]
 
 
 def interrupted_by_a_stop(evidence):
@@ -87,18 +87,18 @@
 
 
 def too_many_extra_sub_requests(evidence):
-    evidence.ledger.arrivals["s0"] += [(1.0, "r1")] * 60
+    evidence.observations.service_requests["s0"] += [(1.0, "r1")] * 60
 
 
 def asked_while_held(evidence):
-    evidence.ledger.holds["s0-x"] = [(1.0, "r1")]
-    evidence.ledger.asked["s0-x"] = [(1.0, "r1"), *[(1.0 + HOLD_S - 0.1, "r1")] * 3]
+    evidence.observations.holds["s0-x"] = [(1.0, "r1")]
+    evidence.observations.target_requests["s0-x"] = [(1.0, "r1"), *[(1.0 + HOLD_S - 0.1, "r1")] * 3]
 
 
 def asked_while_leaving(evidence):
-    evidence.ledger.leaves["s0-x"] = [(1.0, "r1")]
-    evidence.ledger.asked["s0-x"] = [(1.0, "r1"), (1.1 + DRAIN_S, "r1")]
-    evidence.ledger.returns["s0-x"] = [1.2 + DRAIN_S]
+    evidence.observations.leaves["s0-x"] = [(1.0, "r1")]
+    evidence.observations.target_requests["s0-x"] = [(1.0, "r1"), (1.1 + DRAIN_S, "r1")]
+    evidence.observations.restarts["s0-x"] = [1.2 + DRAIN_S]
 
 
 @pytest.mark.parametrize("introduce_violation", [asked_while_held, asked_while_leaving])
@@ -112,12 +112,12 @@
 def test_requests_after_a_hold_or_to_a_new_incarnation_are_allowed():
     evidence = sound_evidence()
     evidence.events = []
-    ledger = evidence.ledger
-    ledger.holds["s0-x"] = [(1.0, "r1")]
-    ledger.asked["s0-x"] = [(1.4, "r1"), *[(1.1 + HOLD_S, "r1")] * 9]
-    ledger.leaves["s1-x"] = [(1.0, "r1")]
-    ledger.returns["s1-x"] = [4.5]
-    ledger.asked["s1-x"] = [(1.0 + DRAIN_S, "r1"), (4.6, "r1")]
+    observations = evidence.observations
+    observations.holds["s0-x"] = [(1.0, "r1")]
+    observations.target_requests["s0-x"] = [(1.4, "r1"), *[(1.1 + HOLD_S, "r1")] * 9]
+    observations.leaves["s1-x"] = [(1.0, "r1")]
+    observations.restarts["s1-x"] = [4.5]
+    observations.target_requests["s1-x"] = [(1.0 + DRAIN_S, "r1"), (4.6, "r1")]
     assert violations(evidence) == []
 
 
@@ -158,4 +158,4 @@
     assert report["requests"] == {"served": 1, "refused": 1, "late": 1}
     assert report["by_second"] == {"0": {"served": 1, "refused": 1}, "1": {"late": 1}}
     assert report["faults"] == [{"what": "stop", "where": "edge-x", "since": 4.0, "until": 7.0}]
-    assert kind_of(outcome(headers={"x-missing-parts": "1"})) == "partial"
+    assert classify_outcome(outcome(headers={"x-missing-parts": "1"})) == "partial"
