--- a/bench/control.py
+++ b/bench/control.py
@@ -13,7 +13,7 @@
 from bench.shapes import Shape
 from bramleycrank.exceptions import BramleycrankError
 from bramleycrank.proto import operator_pb2
-from harness.processes import until
+from harness.processes import wait_until
 
 POLL_S = 0.02
 IDLE_S = 20.0
@@ -75,7 +75,7 @@
     async def reached() -> bool:
         return await vm.revision() >= revision
 
-    await until(reached, f"{vm.vm_id} has revision {revision}", 30, POLL_S)
+    await wait_until(reached, f"{vm.vm_id} has revision {revision}", 30, POLL_S)
 
 
 async def recovery(fleet: BenchFleet, rounds: int) -> dict[str, Any]:
@@ -89,7 +89,7 @@
         leader.process.reap()
         start = time.perf_counter()
         fleet.vms.remove(leader)
-        await until(
+        await wait_until(
             lambda v=version, n=number: fleet.put_service(service, v, queue_limit=300 + n % 2),
             "a change is accepted again",
             30,
@@ -98,7 +98,7 @@
         times.append(time.perf_counter() - start)
         fleet.vms[:] = sorted([*others, leader], key=lambda vm: int(vm.vm_id[2:]))
         leader.start()
-        await until(leader.ready, f"{leader.vm_id} is ready again", 40)
+        await wait_until(leader.ready, f"{leader.vm_id} is ready again", 40)
     return {"rounds": rounds, "accepted_again_s": quantiles(times)}
 
 
@@ -114,7 +114,7 @@
                     return vm
         return None
 
-    return await until(find, "a leader stands", 30)
+    return await wait_until(find, "a leader stands", 30)
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -17,7 +17,7 @@
 from bramleycrank.proto import log_pb2, operator_pb2, standin_pb2
 from bramleycrank.proto.standin_grpc import StandInStub
 from bramleycrank.transport.peer_client import PeerClients
-from harness.processes import HOST, Process, free_port, until
+from harness.processes import HOST, Process, free_port, wait_until
 
 VOTERS = 3
 START_LIMIT_S = 40.0
@@ -105,7 +105,7 @@
         """Send SIGTERM and wait for the end."""
         self.process.signal(signal.SIGTERM)
         process = self.process
-        await until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
+        await wait_until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
 
 
 class Targets:
@@ -198,19 +198,19 @@
             vm.start()
         await asyncio.gather(*(targets.start() for targets in self.targets))
         for vm in self.vms:
-            await until(lambda vm=vm: vm.answers(), f"{vm.vm_id} answers", START_LIMIT_S)
+            await wait_until(lambda vm=vm: vm.answers(), f"{vm.vm_id} answers", START_LIMIT_S)
         await self._configure()
         for vm in self.vms:
-            await until(vm.ready, f"{vm.vm_id} is ready", START_LIMIT_S)
+            await wait_until(vm.ready, f"{vm.vm_id} is ready", START_LIMIT_S)
         for vm in self.vms:
-            await until(lambda vm=vm: self.covers(vm), f"{vm.vm_id} covers", START_LIMIT_S)
+            await wait_until(lambda vm=vm: self.covers(vm), f"{vm.vm_id} covers", START_LIMIT_S)
 
     async def _configure(self) -> None:
         addresses = [vm.address for vm in self.vms[:VOTERS]]
         stub = self.clients.operator_stub(self.vms[0].address)
         await stub.Bootstrap(operator_pb2.BootstrapRequest(addresses=addresses))
         for service in (self.shape.search, self.shape.records):
-            await until(lambda s=service: self.put_service(s.name, 0), "a service is created")
+            await wait_until(lambda s=service: self.put_service(s.name, 0), "a service is created")
 
     async def put_service(
         self, name: str, expected: int, via: Vm | None = None, **fields: int
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -15,7 +15,7 @@
 from bench.fleet import BenchFleet
 from bench.scenarios import SCENARIOS, Scenario
 from bench.shapes import Shape
-from harness.processes import Process, until
+from harness.processes import Process, wait_until
 
 log = logging.getLogger(__name__)
 
@@ -128,7 +128,7 @@
         process = Process(command, fleet.folder / "load.log")
         try:
             limit_s = WARMUP_S + seconds + 60
-            await until(lambda: process.exit_code is not None, "the load ends", limit_s, 0.1)
+            await wait_until(lambda: process.exit_code is not None, "the load ends", limit_s, 0.1)
             assert process.exit_code == 0, process.log_tail()
         finally:
             process.reap()
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -11,7 +11,7 @@
 
 from bench.fleet import BenchFleet
 from bramleycrank.proto import standin_pb2, target_pb2
-from harness.processes import until
+from harness.processes import wait_until
 
 # Time from the start of the recorded load to the fault, in seconds.
 FAULT_AT_S = 3.0
@@ -74,7 +74,7 @@
     targets.process.signal(signal.SIGTERM)
     old = targets.process
     targets.stub_channel.close()
-    await until(lambda: old.exit_code is not None, "the targets exit", 30)
+    await wait_until(lambda: old.exit_code is not None, "the targets exit", 30)
     targets.cold_s = 10.0
     await targets.start()
 
@@ -122,7 +122,7 @@
     for vm in fleet.vms:
         await vm.stop_gracefully()
         vm.start()
-        await until(vm.ready, f"{vm.vm_id} is ready again", 40)
+        await wait_until(vm.ready, f"{vm.vm_id} is ready again", 40)
 
 
 SCENARIOS = {
--- a/harness/platform_fleet.py
+++ b/harness/platform_fleet.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from harness.processes import Process, until
+from harness.processes import Process, wait_until
 
 SETTINGS_TEMPLATE = """\
 NodeName={name}
@@ -150,7 +150,7 @@
             ]
             return any(b" 200 " in reply[:20] for reply in replies)
 
-        await until(is_accepted, "a configuration is accepted", 20)
+        await wait_until(is_accepted, "a configuration is accepted", 20)
 
     async def read(self, voter: PlatformVm) -> dict:
         """Return the newest configuration that a voter confirms; empty if it cannot."""
--- a/harness/processes.py
+++ b/harness/processes.py
@@ -40,7 +40,7 @@
                 return port
 
 
-async def until(
+async def wait_until(
     condition: Callable[[], Any],
     description: str,
     timeout_s: float = WAIT_LIMIT_S,
--- a/soak/run.py
+++ b/soak/run.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from harness.platform_fleet import Fleet
-from harness.processes import until
+from harness.processes import wait_until
 from soak import checks, report
 from soak.callers import Caller, Outcome
 from soak.faults import Injector
@@ -104,7 +104,7 @@
             rng = random.Random(self._seed * 1000 + number)
             caller = Caller(f"c{number}", entry, self._outcomes, rng)
             self._start_task(caller.run())
-        await until(lambda: self._served_since(0.5), "the fleet serves", START_S)
+        await wait_until(lambda: self._served_since(0.5), "the fleet serves", START_S)
         self._start_task(self._keep_changing())
         self._start_task(self._keep_reading())
 
@@ -114,7 +114,7 @@
     async def _recover(self) -> None:
         """Wait until all requests are served, and record a violation after the time limit."""
         try:
-            await until(
+            await wait_until(
                 lambda: self._served_since(STABLE_PERIOD_S),
                 "all requests are served",
                 RECOVERY_S + STABLE_PERIOD_S,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -22,7 +22,7 @@
 from bramleycrank.proto import log_pb2, operator_pb2, standin_pb2
 from bramleycrank.proto.standin_grpc import StandInStub
 from bramleycrank.transport.peer_client import PeerClients
-from harness.processes import HOST, WAIT_LIMIT_S, Process, free_port, until
+from harness.processes import HOST, WAIT_LIMIT_S, Process, free_port, wait_until
 
 TESTS = Path(__file__).parent
 
@@ -103,7 +103,9 @@
     async def stop(self, timeout_s: float = 30.0) -> None:
         """Stop the daemon gracefully and check its exit code."""
         self.process.signal(signal.SIGTERM)
-        await until(lambda: self.process.exit_code is not None, f"{self.vm_id} exits", timeout_s)
+        await wait_until(
+            lambda: self.process.exit_code is not None, f"{self.vm_id} exits", timeout_s
+        )
         assert self.process.exit_code == 0, self.process.log_tail()
 
     def freeze(self) -> None:
@@ -247,12 +249,14 @@
         if bootstrap:
             await self.bootstrap()
             for vm in self.vms:
-                await until(vm.ready, f"{vm.vm_id} is ready")
+                await wait_until(vm.ready, f"{vm.vm_id} is ready")
 
     async def bootstrap(self) -> None:
         """Wait until all VMs respond to operators, then bootstrap the voters."""
         for vm in self.vms:
-            await until(lambda vm=vm: vm.status(local=True), f"{vm.vm_id} responds to operators")
+            await wait_until(
+                lambda vm=vm: vm.status(local=True), f"{vm.vm_id} responds to operators"
+            )
         request = operator_pb2.BootstrapRequest(addresses=[vm.address for vm in self.voters])
         await self.voters[0].operator.Bootstrap(request)
 
@@ -267,7 +271,7 @@
                         return vm
             return None
 
-        return await until(find, "a VM is the leader", timeout_s)
+        return await wait_until(find, "a VM is the leader", timeout_s)
 
     def others(self, *excluded: Vm) -> list[Vm]:
         """Return all VMs except the given ones."""
@@ -280,7 +284,7 @@
             revisions = await asyncio.gather(*(vm.revision() for vm in vms or self.vms))
             return min(revisions) >= revision
 
-        await until(is_in_force_everywhere, f"revision {revision} is in force", timeout_s)
+        await wait_until(is_in_force_everywhere, f"revision {revision} is in force", timeout_s)
 
     def close(self) -> None:
         """Close all channels and kill every process."""
--- a/tests/test_process_consensus.py
+++ b/tests/test_process_consensus.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from processes import TESTS, free_port, run_fleet, until
+from processes import TESTS, free_port, run_fleet, wait_until
 
 from bramleycrank.exceptions import AlreadyBootstrapped, BramleycrankError, NotFound
 from bramleycrank.proto import operator_pb2
@@ -38,7 +38,7 @@
     async def wait_for_more(self, count=5):
         """Wait until more changes are accepted."""
         target_count = len(self.accepted) + count
-        await until(
+        await wait_until(
             lambda: len(self.accepted) >= target_count, f"{count} more changes are accepted"
         )
 
@@ -51,7 +51,7 @@
         revisions = [revision for _, revision in self.accepted]
         assert revisions == sorted(set(revisions))
         for vm in vms:
-            await until(lambda vm=vm: self._has_all(vm), f"{vm.vm_id} has all changes")
+            await wait_until(lambda vm=vm: self._has_all(vm), f"{vm.vm_id} has all changes")
 
     async def _has_all(self, vm):
         reply = await vm.operator.ListServices(operator_pb2.ListServicesRequest())
@@ -74,7 +74,7 @@
         assert time.monotonic() - killed_at < 3.0
         await stream.wait_for_more()
         leader.start()
-        await until(leader.ready, "the killed VM is ready again")
+        await wait_until(leader.ready, "the killed VM is ready again")
         await stream.wait_for_more()
         await stream.stop()
         await stream.check(fleet.vms)
@@ -125,7 +125,7 @@
         lost.kill()
         shutil.rmtree(lost.data_dir)
         lost.start()
-        await until(lost.ready, "the VM without its disk is ready")
+        await wait_until(lost.ready, "the VM without its disk is ready")
         new_node_id = (await lost.dump())["consensus"]["node_id"]
         assert new_node_id != old_node_id and await lost.role() == "entry"
         request = operator_pb2.MemberRequest(address=lost.address, node_id=old_node_id)
@@ -189,7 +189,7 @@
             versions = [reply.version for reply in await asyncio.gather(*changes)]
         await stream.stop()
         stopped.start()
-        await until(stopped.ready, "the restarted voter is ready")
+        await wait_until(stopped.ready, "the restarted voter is ready")
         last_version = max(versions)
         await fleet.in_force(last_version)
         assert (await stopped.dump())["consensus"]["log"]["core"]["snapshot_index"] >= 1000
@@ -198,7 +198,7 @@
         for vm in fleet.vms:
             vm.start()
         for vm in fleet.vms:
-            await until(vm.ready, f"{vm.vm_id} is ready")
+            await wait_until(vm.ready, f"{vm.vm_id} is ready")
         await stream.check(fleet.vms)
         assert (await fleet.vms[0].put_service("more")).revision > last_version
 
@@ -214,7 +214,7 @@
         path.write_text(text.replace(f'grpc = "{vm.address}"', f'grpc = "127.0.0.1:{free_port()}"'))
         command = [sys.executable, str(TESTS / "relayed_daemon.py"), f"--settings={path}"]
         second = fleet.spawn(command, fleet.folder / "second.log")
-        await until(lambda: second.exit_code is not None, "the second daemon exits")
+        await wait_until(lambda: second.exit_code is not None, "the second daemon exits")
         assert second.exit_code == 8, second.log_tail()
         status = await fleet.vms[1].status()
         assert all(vm_status.reachable for vm_status in status.vms)
@@ -227,12 +227,12 @@
         leader = await fleet.leader()
         drain = operator_pb2.DrainRequest(vm_id=leader.vm_id, drained=True, change_id="d1")
         first = await fleet.others(leader)[0].operator.DrainVm(drain)
-        await until(lambda: not_ready(leader), "the drained VM is not ready")
+        await wait_until(lambda: not_ready(leader), "the drained VM is not ready")
         new_leader = await fleet.leader(fleet.others(leader))
         assert await new_leader.operator.DrainVm(drain) == first
         drain = operator_pb2.DrainRequest(vm_id=leader.vm_id, drained=False, change_id="d2")
         await new_leader.operator.DrainVm(drain)
-        await until(leader.ready, "the VM is ready again")
+        await wait_until(leader.ready, "the VM is ready again")
 
     run_fleet(tmp_path, scenario)
 
--- a/tests/test_process_domain_cut.py
+++ b/tests/test_process_domain_cut.py
@@ -12,7 +12,7 @@
 
 from bench.fleet import BenchFleet, Vm
 from bench.shapes import ServiceShape, Shape
-from harness.processes import until
+from harness.processes import wait_until
 
 SHAPE = Shape(
     name="cut",
@@ -72,7 +72,7 @@
         assert answer.get("outcome") == "complete", answer
         return answer["config"]["stale_ms"] > 0
 
-    await until(is_stale, "the isolated VM reports a stale configuration", 20)
+    await wait_until(is_stale, "the isolated VM reports a stale configuration", 20)
     resent = (await order(isolated, "before", issued_at_ms))["error"]
     assert resent["outcome"] == "unknown", "an earlier attempt ran in another domain"
     assert (await order(isolated, "during", issued_at_ms))["error"]["outcome"] == "unknown"
@@ -80,19 +80,19 @@
     assert answer_during["outcome"] == "complete", answer_during
     for vm in (first, other):
         assert (await search(vm))["outcome"] == "complete"
-    version = await until(lambda: fleet.put_service("fonderia", 2, via=first), "a change")
+    version = await wait_until(lambda: fleet.put_service("fonderia", 2, via=first), "a change")
 
     fleet.heal()
 
     async def has_change() -> bool:
         return await isolated.revision() >= version
 
-    await until(has_change, "the change is in force after the partition", 20)
+    await wait_until(has_change, "the change is in force after the partition", 20)
 
     async def is_current() -> bool:
         return (await search(isolated))["config"]["stale_ms"] == 0
 
-    await until(is_current, "the VM has a current configuration again", 20)
+    await wait_until(is_current, "the VM has a current configuration again", 20)
     assert (await order(isolated, "before", issued_at_ms))["result"] == answer_before["result"]
     assert (await order(isolated, "during", issued_at_ms))["result"] == answer_during["result"]
     assert await effects(fleet) == {"before": 1, "during": 1}
--- a/tests/test_process_links.py
+++ b/tests/test_process_links.py
@@ -3,7 +3,7 @@
 import time
 
 import pytest
-from processes import run_fleet, until
+from processes import run_fleet, wait_until
 from relay import Links
 
 from bramleycrank.exceptions import NoQuorum, ProposalOutcomeUnknown
@@ -46,7 +46,7 @@
         first = await leader.put_service("demo", kinds=WORK_ORDER)
         await fleet.in_force(first.revision)
         for vm in fleet.vms:
-            await until(lambda vm=vm: complete_answer(vm), f"{vm.vm_id} answers completely")
+            await wait_until(lambda vm=vm: complete_answer(vm), f"{vm.vm_id} answers completely")
 
         for relay in links.between(leader):
             relay.refuse_connections()
@@ -56,7 +56,9 @@
             await leader.put_service("refused", timeout_s=1.5)
         assert await leader.role() != "leader"
 
-        body = await until(lambda: stale_answer(leader), "the answer reports a stale configuration")
+        body = await wait_until(
+            lambda: stale_answer(leader), "the answer reports a stale configuration"
+        )
         assert body["coverage"]["answered"] == 2
         assert body["config"]["revision"] == first.revision
         status, body = await leader.request(
@@ -74,7 +76,7 @@
         for relay in links.between(leader):
             relay.heal()
         await fleet.in_force(second.revision, [leader])
-        await until(lambda: current_answer(leader), "the VM has a current configuration again")
+        await wait_until(lambda: current_answer(leader), "the VM has a current configuration again")
 
     run_with_links(tmp_path, scenario)
 
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -11,7 +11,7 @@
 from http_fakes import FakeTarget, ok
 
 from harness.platform_fleet import ENTRY_PORT, READY_PORT, Fleet, PlatformVm
-from harness.processes import Process, until
+from harness.processes import Process, wait_until
 
 pytestmark = pytest.mark.process
 
@@ -56,10 +56,12 @@
         reply = await search(fleet, entry)
         return b" 200 " in reply[:20] and reply.endswith(b"\r\n\r\n" + body)
 
-    await until(lambda: is_served(configured, b"b" * 16), f"{configured.name} serves", 20)
+    await wait_until(lambda: is_served(configured, b"b" * 16), f"{configured.name} serves", 20)
     assert b" 200 " not in (await search(fleet, without_seeds))[:20], "its seeds are unreachable"
     without_seeds.write_settings(fleet.seeds)  # without a signal
-    await until(lambda: is_served(without_seeds, b"b" * 16), f"{without_seeds.name} serves", 10)
+    await wait_until(
+        lambda: is_served(without_seeds, b"b" * 16), f"{without_seeds.name} serves", 10
+    )
 
     lost_voter = fleet.voters[0]
     lost_voter.process.signal(signal.SIGKILL)
@@ -67,7 +69,7 @@
     await fleet.put(config(2, 2))
     for entry in fleet.entries:
         both_parts = b"b" * 16 + b"a" * 16
-        await until(
+        await wait_until(
             lambda e=entry, b=both_parts: is_served(e, b), f"{entry.name} has the change", 10
         )
     lost_voter.start()
@@ -75,7 +77,7 @@
     async def has_newest() -> bool:
         return await fleet.read(lost_voter) == config(2, 2)
 
-    await until(has_newest, "the voter with the new disk reads the newest configuration", 10)
+    await wait_until(has_newest, "the voter with the new disk reads the newest configuration", 10)
     await asyncio.sleep(1.5)
     fleet.voters[1].process.signal(signal.SIGKILL)
     await fleet.put(config(3, 1))  # needs the vote of the repaired VM
@@ -87,7 +89,7 @@
     assert b" 200 " in (await search(fleet, entry))[:20], (
         "it serves until the platform sees that it is not ready"
     )
-    await until(lambda: entry.process.exit_code is not None, "the entry ends", 6)
+    await wait_until(lambda: entry.process.exit_code is not None, "the entry ends", 6)
     assert entry.process.exit_code == 0
 
 
@@ -119,7 +121,7 @@
     )
 
     async def body() -> None:
-        await until(lambda: process.exit_code is not None, "the process ends", 10)
+        await wait_until(lambda: process.exit_code is not None, "the process ends", 10)
 
     try:
         asyncio.run(body())
@@ -141,7 +143,9 @@
                 await fleet.put(config(1, 1))
                 damaged = fleet.voters[2]
                 damaged.process.signal(signal.SIGKILL)
-                await until(lambda: damaged.process.exit_code is not None, "the VM is killed", 5)
+                await wait_until(
+                    lambda: damaged.process.exit_code is not None, "the VM is killed", 5
+                )
                 [path] = damaged.data_dir.glob("log-*")
                 data = bytearray(path.read_bytes())
                 data[12] ^= 0xFF
@@ -152,7 +156,7 @@
                 async def has_newest() -> bool:
                     return await fleet.read(damaged) == config(2, 2)
 
-                await until(has_newest, "the damaged voter reads the newest configuration", 10)
+                await wait_until(has_newest, "the damaged voter reads the newest configuration", 10)
         finally:
             for process in fleet.processes:
                 process.reap()
--- a/tests/test_process_requests.py
+++ b/tests/test_process_requests.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from processes import run_fleet, until
+from processes import run_fleet, wait_until
 
 from bramleycrank.proto import log_pb2
 
@@ -65,17 +65,17 @@
         fleet.standin(shards=2, replicas=3, domains="a,b,c")
         await fleet.vms[0].put_service("demo")
         for vm in fleet.vms:
-            await until(lambda vm=vm: is_complete(vm), f"{vm.vm_id} answers completely")
+            await wait_until(lambda vm=vm: is_complete(vm), f"{vm.vm_id} answers completely")
         stream = QueryStream(fleet.vms)
         for vm in fleet.vms:
             before = stream.answered
             await vm.stop()
-            await until(lambda n=before: stream.answered > n + 20, "the others keep answering")
+            await wait_until(lambda n=before: stream.answered > n + 20, "the others keep answering")
             vm.start()
-            await until(vm.ready, f"{vm.vm_id} is ready again")
-            await until(lambda vm=vm: vm in stream.ready, "the balancer uses it again")
+            await wait_until(vm.ready, f"{vm.vm_id} is ready again")
+            await wait_until(lambda vm=vm: vm in stream.ready, "the balancer uses it again")
         before = stream.answered
-        await until(lambda: stream.answered > before + 50, "all VMs answer")
+        await wait_until(lambda: stream.answered > before + 50, "all VMs answer")
         await stream.stop()
         assert stream.failures == []
 
@@ -96,7 +96,7 @@
         reply = await fleet.vms[0].put_service("demo", kinds=kinds)
         await fleet.in_force(reply.revision)
         leader = await fleet.leader()
-        await until(lambda: is_complete(leader), "the leader answers completely")
+        await wait_until(lambda: is_complete(leader), "the leader answers completely")
         calls = [asyncio.ensure_future(leader.query()) for _ in range(2)]
         calls.append(asyncio.ensure_future(leader.request("POST", "/v1/query", work_order("stop"))))
         await asyncio.sleep(0.1)  # The requests must reach the VM before the signal.
@@ -116,7 +116,7 @@
         reply = await fleet.vms[0].put_service("demo")
         await fleet.in_force(reply.revision)
         vm = fleet.vms[1]
-        await until(lambda: is_complete(vm), "the VM answers completely")
+        await wait_until(lambda: is_complete(vm), "the VM answers completely")
         caller = asyncio.ensure_future(asyncio.to_thread(query_until_connection_closes, vm.http))
         await asyncio.sleep(0.1)  # Allows some requests on the open connection.
         await vm.stop()
@@ -166,7 +166,7 @@
 async def kill_after_the_run_before_the_answer(vm, standin, call):
     await asyncio.sleep(0.25)
     vm.freeze()
-    await until(lambda: has_run_once(standin), "the target ran the order")
+    await wait_until(lambda: has_run_once(standin), "the target ran the order")
     vm.kill()
 
 
@@ -201,7 +201,7 @@
         reply = await fleet.vms[0].put_service("demo", kinds=kinds)
         await fleet.in_force(reply.revision)
         for vm in fleet.vms:
-            await until(lambda vm=vm: is_complete(vm), f"{vm.vm_id} answers completely")
+            await wait_until(lambda vm=vm: is_complete(vm), f"{vm.vm_id} answers completely")
         first, second = fleet.others(await fleet.leader())
         call = asyncio.ensure_future(first.request("POST", "/v1/query", work_order("order")))
         await fault(first, standin, call)
--- a/tests/test_process_whole_path.py
+++ b/tests/test_process_whole_path.py
@@ -7,7 +7,7 @@
 import uuid
 
 import pytest
-from processes import Fleet, run_fleet, until
+from processes import Fleet, run_fleet, wait_until
 
 from bramleycrank.exceptions import InvalidChange, VersionConflict
 
@@ -51,7 +51,9 @@
 
     async def scenario():
         for vm in fleet.vms:
-            body = await until(lambda vm=vm: complete_answer(vm), f"complete answer of {vm.vm_id}")
+            body = await wait_until(
+                lambda vm=vm: complete_answer(vm), f"complete answer of {vm.vm_id}"
+            )
             assert body["outcome"] == "complete" and body["coverage"]["total"] == 4
             assert body["result"] and body["config"]["stale_ms"] == 0
 
@@ -88,7 +90,7 @@
     async def scenario():
         pairs = [(port, data) for port in (vm.http, vm.grpc) for data in MALFORMED_DATA]
         await asyncio.gather(*(send(port, data) for port, data in pairs))
-        assert (await until(lambda: complete_answer(vm), "an answer"))["outcome"] == "complete"
+        assert (await wait_until(lambda: complete_answer(vm), "an answer"))["outcome"] == "complete"
         assert await vm.revision() >= 1
 
     runner.run(scenario())
@@ -155,7 +157,7 @@
 
     async def scenario():
         leader = await fleet.leader()
-        status = await until(lambda: fleet.vms[3].status(), "status")
+        status = await wait_until(lambda: fleet.vms[3].status(), "status")
         assert {vm.record.vm_id for vm in status.vms} == {vm.vm_id for vm in fleet.vms}
         assert all(vm.reachable and vm.current for vm in status.vms)
         assert status.leader_vm == leader.vm_id and len(status.membership.members) == 3
@@ -178,11 +180,11 @@
             vm.kill()
         alone = fleet.vms[1]
         alone.start()
-        await until(lambda: alone.status(local=True), "the VM responds to operators")
+        await wait_until(lambda: alone.status(local=True), "the VM responds to operators")
         assert not await alone.ready()
-        await until(alone.ready, "the VM is ready without the others")
+        await wait_until(alone.ready, "the VM is ready without the others")
         # The targets have to reconnect to the only running VM first.
-        body = await until(lambda: answer_of(alone), "the VM answers")
+        body = await wait_until(lambda: answer_of(alone), "the VM answers")
         assert body["config"]["revision"] == reply.revision
         assert body["config"]["stale_ms"] > 0
 
