--- a/harness/platform_fleet.py
+++ b/harness/platform_fleet.py
@@ -140,7 +140,7 @@
         voter = self.voters[sequence % len(self.voters)]
         await self.send("PUT", f"/-/instances/{target_id}", body, voter.ip, CONTROL_PORT)
 
-    async def put(self, document: dict) -> None:
+    async def put_config(self, document: dict) -> None:
         """Send a configuration to all voters until one of them accepts it."""
 
         async def is_accepted() -> bool:
@@ -152,7 +152,7 @@
 
         await wait_until(is_accepted, "a configuration is accepted", 20)
 
-    async def read(self, voter: PlatformVm) -> dict:
+    async def read_config(self, voter: PlatformVm) -> dict:
         """Return the newest configuration that a voter confirms; empty if it cannot."""
         reply = await self.send("GET", "/-/config", None, voter.ip, CONTROL_PORT)
         head, _, body = reply.partition(b"\r\n\r\n")
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -44,9 +44,9 @@
     Parameters
     ----------
     name : str
-        Prefix of its request ids.
+        Prefix of the request ids.
     entry : PlatformVm
-        The entry VM to which it connects.
+        The entry VM to which the caller connects.
     outcomes : list of Outcome
         List to which the result of each request is appended.
     rng : random.Random
@@ -88,7 +88,7 @@
                     self._reader, self._writer = await asyncio.open_connection(*address)
                 outcome.status = -1
                 self._writer.write(request.encode())
-                await self._read(outcome)
+                await self._read_response(outcome)
         except TimeoutError:
             outcome.status = -2
             self._close()
@@ -99,7 +99,7 @@
             self._close()
         return outcome
 
-    async def _read(self, outcome: Outcome) -> None:
+    async def _read_response(self, outcome: Outcome) -> None:
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         fields = (line.partition(": ") for line in head[1:] if line)
         outcome.headers = {name.lower(): value for name, _, value in fields}
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -27,7 +27,7 @@
 """
 
 HOLD_SLACK_S, MAX_HOLD_TRIALS = 0.5, 2
-"""From this time after a refusal, a held target may get no more than this number of requests."""
+"""Start of the checked part of a hold, and the number of requests allowed in it."""
 
 DRAIN_S = 3.0
 """Time after which a leaving target may get no more requests; `Bounds.DrainTimeoutMs`."""
@@ -79,13 +79,13 @@
 
 
 def _answer_error(outcome: Outcome, evidence: Evidence) -> str:
-    gather = outcome.path.startswith("/all")
-    field = outcome.headers.get("x-part-stamps" if gather else "x-server-stamp", "")
-    known = [evidence.observations.receipts.get(r) for r in field.split(", ")]
-    if not all(known) or any(request_id != outcome.request_id for _, request_id in known):
+    is_gather = outcome.path.startswith("/all")
+    field = outcome.headers.get("x-part-stamps" if is_gather else "x-server-stamp", "")
+    receipts = [evidence.observations.receipts.get(r) for r in field.split(", ")]
+    if not all(receipts) or any(request_id != outcome.request_id for _, request_id in receipts):
         return f"a receipt belongs to another request: {field}"
-    services = [service for service, _ in known]
-    if not gather:
+    services = [service for service, _ in receipts]
+    if not is_gather:
         expected = records(SINGLE, outcome.request_id)
         return "" if services == [SINGLE] and outcome.body == expected else "unexpected body"
     missing = int(outcome.headers.get("x-missing-parts", "-1"))
@@ -95,7 +95,7 @@
         return f"{len(services)} parts and {missing} missing"
     expected = b"".join(records(service, outcome.request_id) for service in services)
     all_records = [expected[i : i + RECORD_BYTES] for i in range(0, len(expected), RECORD_BYTES)]
-    bodies = {b"".join(heapq.nlargest(top, all_records)) for top in evidence.top_ks}
+    bodies = {b"".join(heapq.nlargest(top_k, all_records)) for top_k in evidence.top_ks}
     return "" if outcome.body in bodies else "the body is not the greatest records of its parts"
 
 
@@ -126,27 +126,31 @@
 def _check_holds_and_leaving(evidence: Evidence) -> Iterator[str]:
     """Yield targets that a VM kept asking after they sent it a hold or announced to leave."""
     observations = evidence.observations
-    entries = {outcome.request_id: outcome.entry for outcome in evidence.outcomes}
+    entry_by_request = {outcome.request_id: outcome.entry for outcome in evidence.outcomes}
     for target_id, signals in observations.holds.items():
         for at, request_id in signals:
-            entry = entries.get(request_id)
-            late = _requests_in_period(
-                evidence, entries, target_id, entry, at + HOLD_SLACK_S, at + HOLD_S
+            entry = entry_by_request.get(request_id)
+            unwanted_ids = _requests_in_period(
+                evidence, entry_by_request, target_id, entry, at + HOLD_SLACK_S, at + HOLD_S
             )
-            if len(late) > MAX_HOLD_TRIALS:
-                yield f"{target_id}: {len(late)} requests during its hold: {late}"
+            if len(unwanted_ids) > MAX_HOLD_TRIALS:
+                yield f"{target_id}: {len(unwanted_ids)} requests during its hold: {unwanted_ids}"
     for target_id, signals in observations.leaves.items():
-        first_signal = {entries.get(request_id): at for at, request_id in reversed(signals)}
+        first_signal = {
+            entry_by_request.get(request_id): at for at, request_id in reversed(signals)
+        }
         for entry, at in first_signal.items():
             until = min((t for t in observations.restarts[target_id] if t > at), default=math.inf)
-            late = _requests_in_period(evidence, entries, target_id, entry, at + DRAIN_S, until)
-            if late:
-                yield f"{target_id}: requests after it announced that it leaves: {late}"
+            unwanted_ids = _requests_in_period(
+                evidence, entry_by_request, target_id, entry, at + DRAIN_S, until
+            )
+            if unwanted_ids:
+                yield f"{target_id}: requests after it announced that it leaves: {unwanted_ids}"
 
 
 def _requests_in_period(
     evidence: Evidence,
-    entries: dict[str, str],
+    entry_by_request: dict[str, str],
     target_id: str,
     entry: str | None,
     since: float,
@@ -156,20 +160,26 @@
 
     The result is empty if a fault affected the VM around that period.
     """
-    disturbed = any(
+    is_faulty = any(
         event.where == entry and (event.until or math.inf) > since - DRAIN_S and event.since < until
         for event in evidence.events
     )
-    if entry is None or disturbed:
+    if entry is None or is_faulty:
         return []
-    asked = evidence.observations.target_requests[target_id]
-    return [other for at, other in asked if since < at < until and entries.get(other) == entry]
+    requests = evidence.observations.target_requests[target_id]
+    return [
+        request_id
+        for at, request_id in requests
+        if since < at < until and entry_by_request.get(request_id) == entry
+    ]
 
 
 def _check_retry_budgets(evidence: Evidence) -> Iterator[str]:
     for service, received in evidence.observations.service_requests.items():
-        single = service == SINGLE
-        asked = sorted(o.sent for o in evidence.outcomes if o.path.startswith("/all") != single)
+        is_single = service == SINGLE
+        sent_times = sorted(
+            o.sent for o in evidence.outcomes if o.path.startswith("/all") != is_single
+        )
         seen_ids: set[str] = set()
         extra_times = []
         for at, request_id in received:
@@ -177,13 +187,13 @@
                 extra_times.append(at)
             seen_ids.add(request_id)
         for end in extra_times:
-            extra = sum(end - RETRY_WINDOW_S < at <= end for at in extra_times)
+            extra_count = sum(end - RETRY_WINDOW_S < at <= end for at in extra_times)
             # The retry rules count the requests of this window or of an earlier one, whichever
             # has more.
             requests = max(
-                sum(end - offset_s - RETRY_WINDOW_S < at <= end - offset_s for at in asked)
+                sum(end - offset_s - RETRY_WINDOW_S < at <= end - offset_s for at in sent_times)
                 for offset_s in (0.0, RETRY_WINDOW_S / 2, RETRY_WINDOW_S)
             )
-            if extra > math.ceil(RETRY_BUDGET_RATIO * requests) + RETRY_SLACK:
-                yield f"{service}: {extra} extra sub-requests for {requests} requests"
+            if extra_count > math.ceil(RETRY_BUDGET_RATIO * requests) + RETRY_SLACK:
+                yield f"{service}: {extra_count} extra sub-requests for {requests} requests"
                 break
--- a/soak/run.py
+++ b/soak/run.py
@@ -16,14 +16,14 @@
 from soak.faults import Injector
 from soak.targets import SoakTarget, TargetObservations
 
-ENTRIES = 3
-CALLERS = 4
+ENTRY_VMS = 3
+CALLERS_PER_ENTRY = 4
 """Callers of each entry VM."""
 
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 """Time limit until the fleet serves all requests after its start."""
 
-RECOVERY_S = 12.0
+RECOVERY_TIMEOUT_S = 12.0
 """Time limit until all requests are served again after the last fault."""
 
 STABLE_PERIOD_S = 2.0
@@ -53,12 +53,12 @@
         self._seconds = seconds
         self._folder = folder
         self._rng = random.Random(seed)
-        self._fleet = Fleet(folder, ENTRIES)
+        self._fleet = Fleet(folder, ENTRY_VMS)
         self._observations = TargetObservations()
         self._outcomes: list[Outcome] = []
         self._violations: list[str] = []
         self._top_ks: set[int] = set()
-        self._acknowledged = 0
+        self._acknowledged_version = 0
         self._targets = [
             SoakTarget(
                 service, f"{service}-{zone}", zone, self._observations, random.Random(seed + n)
@@ -100,13 +100,13 @@
         for vm in [*self._fleet.voters, *self._fleet.entries]:
             vm.start(bootstrap=True)
         await self._change_routes()
-        for number, entry in enumerate(self._fleet.entries * CALLERS):
+        for number, entry in enumerate(self._fleet.entries * CALLERS_PER_ENTRY):
             rng = random.Random(self._seed * 1000 + number)
             caller = Caller(f"c{number}", entry, self._outcomes, rng)
             self._start_task(caller.run())
-        await wait_until(lambda: self._served_since(0.5), "the fleet serves", START_S)
-        self._start_task(self._keep_changing())
-        self._start_task(self._keep_reading())
+        await wait_until(lambda: self._all_served_for(0.5), "the fleet serves", START_TIMEOUT_S)
+        self._start_task(self._change_routes_repeatedly())
+        self._start_task(self._check_reads_repeatedly())
 
     def _start_task(self, coro: Any) -> None:
         self._tasks.append(asyncio.ensure_future(coro))
@@ -115,34 +115,34 @@
         """Wait until all requests are served, and record a violation after the time limit."""
         try:
             await wait_until(
-                lambda: self._served_since(STABLE_PERIOD_S),
+                lambda: self._all_served_for(STABLE_PERIOD_S),
                 "all requests are served",
-                RECOVERY_S + STABLE_PERIOD_S,
+                RECOVERY_TIMEOUT_S + STABLE_PERIOD_S,
             )
         except AssertionError:
-            unserved = [o for o in self._recent(STABLE_PERIOD_S) if o.status != 200]
+            unserved = [o for o in self._recent_outcomes(STABLE_PERIOD_S) if o.status != 200]
             self._violations.append(
-                f"{RECOVERY_S} s after the last fault some requests are not served: "
+                f"{RECOVERY_TIMEOUT_S} s after the last fault some requests are not served: "
                 f"{[(o.request_id, o.path, o.entry, o.status) for o in unserved[:5]]}"
             )
 
-    def _recent(self, seconds: float) -> list[Outcome]:
+    def _recent_outcomes(self, seconds: float) -> list[Outcome]:
         since = asyncio.get_running_loop().time() - seconds
         return [outcome for outcome in self._outcomes if outcome.ended > since]
 
-    def _served_since(self, seconds: float) -> bool:
-        recent = self._recent(seconds)
+    def _all_served_for(self, seconds: float) -> bool:
+        recent = self._recent_outcomes(seconds)
         entries = {outcome.entry for outcome in recent}
-        return len(entries) == ENTRIES and all(outcome.status == 200 for outcome in recent)
+        return len(entries) == ENTRY_VMS and all(outcome.status == 200 for outcome in recent)
 
     async def _change_routes(self) -> None:
-        version = self._acknowledged + 1
+        version = self._acknowledged_version + 1
         top = self._rng.randint(3, 9)
         self._top_ks.add(top)  # the change may be in force before it is acknowledged
-        await self._fleet.put(routes(version, top))
-        self._acknowledged = version
+        await self._fleet.put_config(routes(version, top))
+        self._acknowledged_version = version
 
-    async def _keep_changing(self) -> None:
+    async def _change_routes_repeatedly(self) -> None:
         rng = random.Random(self._seed + 1)
         while True:
             await asyncio.sleep(rng.expovariate(1 / MEAN_CHANGE_INTERVAL_S))
@@ -151,14 +151,16 @@
             except AssertionError as exc:
                 self._violations.append(str(exc))
 
-    async def _keep_reading(self) -> None:
+    async def _check_reads_repeatedly(self) -> None:
         """Check that no voter returns a version older than an acknowledged one."""
         for voter in itertools.cycle(self._fleet.voters):
             await asyncio.sleep(0.2)
-            acknowledged = self._acknowledged
-            version = (await self._fleet.read(voter)).get("Version", acknowledged)
-            if version < acknowledged:
-                self._violations.append(f"{voter.name} read version {version} after {acknowledged}")
+            least_version = self._acknowledged_version
+            version = (await self._fleet.read_config(voter)).get("Version", least_version)
+            if version < least_version:
+                self._violations.append(
+                    f"{voter.name} read version {version} after {least_version}"
+                )
 
 
 def routes(version: int, top: int) -> dict[str, Any]:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -112,7 +112,7 @@
         """Suspend the process with SIGSTOP."""
         self.process.signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the process with SIGCONT."""
         self.process.signal(signal.SIGCONT)
 
@@ -219,7 +219,7 @@
     """All VMs and stand-in processes of one test."""
 
     def __init__(
-        self, folder: Path, domains: tuple[str, ...], voters: int, disks: int | None = None
+        self, folder: Path, domains: tuple[str, ...], voters: int, vms_with_disk: int | None = None
     ) -> None:
         self.folder = folder
         self.clients = PeerClients()
@@ -227,7 +227,7 @@
         self._standins: list[StandIn] = []
         self.vms: list[Vm] = []
         for number, domain in enumerate(domains, 1):
-            self.vms.append(Vm(self, number, domain, storage=number <= (disks or voters)))
+            self.vms.append(Vm(self, number, domain, storage=number <= (vms_with_disk or voters)))
         self.voters = self.vms[:voters]
 
     def spawn(self, command: list[str], log: Path, env: dict[str, str] | None = None) -> Process:
@@ -260,9 +260,9 @@
         request = operator_pb2.BootstrapRequest(addresses=[vm.address for vm in self.voters])
         await self.voters[0].operator.Bootstrap(request)
 
-    async def leader(self, among: list[Vm] | None = None, timeout_s: float = WAIT_LIMIT_S) -> Vm:
+    async def leader(self, vms: list[Vm] | None = None, timeout_s: float = WAIT_LIMIT_S) -> Vm:
         """Wait for a VM that reports itself as the leader and return it."""
-        candidates = self.vms if among is None else among
+        candidates = self.vms if vms is None else vms
 
         async def find() -> Vm | None:
             for vm in candidates:
@@ -277,7 +277,9 @@
         """Return all VMs except the given ones."""
         return [vm for vm in self.vms if vm not in excluded]
 
-    async def in_force(self, revision: int, vms: list[Vm] | None = None, timeout_s=10.0) -> None:
+    async def wait_in_force(
+        self, revision: int, vms: list[Vm] | None = None, timeout_s=10.0
+    ) -> None:
         """Wait until a revision or a later one is in force on the given VMs, or on all."""
 
         async def is_in_force_everywhere() -> bool:
@@ -302,14 +304,14 @@
     *,
     domains: tuple[str, ...] = ("a", "b", "c"),
     voters: int = 3,
-    disks: int | None = None,
+    vms_with_disk: int | None = None,
     start: bool = True,
     timeout_s: float = 60.0,
 ) -> None:
     """Run a scenario with a new fleet; print the logs of the VMs if it fails."""
 
     async def run() -> None:
-        fleet = Fleet(folder, domains, voters, disks)
+        fleet = Fleet(folder, domains, voters, vms_with_disk)
         try:
             async with asyncio.timeout(timeout_s):
                 if start:
--- a/tests/test_process_consensus.py
+++ b/tests/test_process_consensus.py
@@ -97,8 +97,8 @@
         await asyncio.sleep(3.0)  # several election timeouts
         await stream.wait_for_more()
         revision = stream.accepted[-1][1]
-        follower.thaw()
-        await fleet.in_force(revision, [follower])
+        follower.resume()
+        await fleet.wait_in_force(revision, [follower])
         assert await consensus_terms(fleet.others(follower, entry)) == terms_before
         assert await leader.role() == "leader"
 
@@ -106,8 +106,8 @@
         new_leader = await fleet.leader(fleet.others(leader, entry))
         await stream.wait_for_more()
         revision = stream.accepted[-1][1]
-        leader.thaw()
-        await fleet.in_force(revision, [leader])
+        leader.resume()
+        await fleet.wait_in_force(revision, [leader])
         assert await leader.role() == "follower" and await new_leader.role() == "leader"
         await stream.stop()
         await stream.check(fleet.vms)
@@ -168,7 +168,7 @@
         await stream.stop()
         await stream.check(fleet.vms)
 
-    run_fleet(tmp_path, scenario, domains=("a", "b", "c", "a"), disks=4)
+    run_fleet(tmp_path, scenario, domains=("a", "b", "c", "a"), vms_with_disk=4)
 
 
 def test_cluster_recovers_after_more_changes_than_the_log_keeps(tmp_path):
@@ -191,7 +191,7 @@
         stopped.start()
         await wait_until(stopped.ready, "the restarted voter is ready")
         last_version = max(versions)
-        await fleet.in_force(last_version)
+        await fleet.wait_in_force(last_version)
         assert (await stopped.dump())["consensus"]["log"]["core"]["snapshot_index"] >= 1000
         for vm in fleet.vms:
             vm.kill()
--- a/tests/test_process_links.py
+++ b/tests/test_process_links.py
@@ -44,7 +44,7 @@
         leader = await fleet.leader()
         remaining = fleet.others(leader)
         first = await leader.put_service("demo", kinds=WORK_ORDER)
-        await fleet.in_force(first.revision)
+        await fleet.wait_in_force(first.revision)
         for vm in fleet.vms:
             await wait_until(lambda vm=vm: complete_answer(vm), f"{vm.vm_id} answers completely")
 
@@ -75,7 +75,7 @@
 
         for relay in links.between(leader):
             relay.heal()
-        await fleet.in_force(second.revision, [leader])
+        await fleet.wait_in_force(second.revision, [leader])
         await wait_until(lambda: current_answer(leader), "the VM has a current configuration again")
 
     run_with_links(tmp_path, scenario)
@@ -116,7 +116,7 @@
         assert await leader.role() == "leader"
         for relay in links.between(silent):
             relay.heal()
-        await fleet.in_force(reply.revision)
+        await fleet.wait_in_force(reply.revision)
 
     run_with_links(tmp_path, scenario)
 
@@ -130,7 +130,7 @@
         links.delay(0.1)
         for number in range(8):
             reply = await leader.put_service(f"s{number}")
-            await fleet.in_force(reply.revision, timeout_s=2.0)
+            await fleet.wait_in_force(reply.revision, timeout_s=2.0)
         assert await leader.role() == "leader"
         assert (await leader.dump())["consensus"]["log"]["core"]["term"] == term
         dropped = [
--- a/tests/test_process_platform.py
+++ b/tests/test_process_platform.py
@@ -50,7 +50,7 @@
     for vm in [*fleet.voters, configured]:
         vm.start(bootstrap=True)
     without_seeds.start(bootstrap=True, seeds=[fleet.unused_ip])
-    await fleet.put(config(1, 1))
+    await fleet.put_config(config(1, 1))
 
     async def is_served(entry: PlatformVm, body: bytes) -> bool:
         reply = await search(fleet, entry)
@@ -66,7 +66,7 @@
     lost_voter = fleet.voters[0]
     lost_voter.process.signal(signal.SIGKILL)
     shutil.rmtree(lost_voter.data_dir)
-    await fleet.put(config(2, 2))
+    await fleet.put_config(config(2, 2))
     for entry in fleet.entries:
         both_parts = b"b" * 16 + b"a" * 16
         await wait_until(
@@ -75,12 +75,12 @@
     lost_voter.start()
 
     async def has_newest() -> bool:
-        return await fleet.read(lost_voter) == config(2, 2)
+        return await fleet.read_config(lost_voter) == config(2, 2)
 
     await wait_until(has_newest, "the voter with the new disk reads the newest configuration", 10)
     await asyncio.sleep(1.5)
     fleet.voters[1].process.signal(signal.SIGKILL)
-    await fleet.put(config(3, 1))  # needs the vote of the repaired VM
+    await fleet.put_config(config(3, 1))  # needs the vote of the repaired VM
 
     entry = fleet.entries[0]
     entry.process.signal(signal.SIGTERM)
@@ -140,7 +140,7 @@
             async with asyncio.timeout(60):
                 for voter in fleet.voters:
                     voter.start(bootstrap=True)
-                await fleet.put(config(1, 1))
+                await fleet.put_config(config(1, 1))
                 damaged = fleet.voters[2]
                 damaged.process.signal(signal.SIGKILL)
                 await wait_until(
@@ -151,10 +151,10 @@
                 data[12] ^= 0xFF
                 path.write_bytes(data)
                 damaged.start()
-                await fleet.put(config(2, 2))
+                await fleet.put_config(config(2, 2))
 
                 async def has_newest() -> bool:
-                    return await fleet.read(damaged) == config(2, 2)
+                    return await fleet.read_config(damaged) == config(2, 2)
 
                 await wait_until(has_newest, "the damaged voter reads the newest configuration", 10)
         finally:
--- a/tests/test_process_requests.py
+++ b/tests/test_process_requests.py
@@ -94,7 +94,7 @@
         fleet.standin(shards=2, replicas=3, domains="a,b,c", latency_ms=1200, sigma=0)
         kinds = [log_pb2.KindConfig(name="work_order")]
         reply = await fleet.vms[0].put_service("demo", kinds=kinds)
-        await fleet.in_force(reply.revision)
+        await fleet.wait_in_force(reply.revision)
         leader = await fleet.leader()
         await wait_until(lambda: is_complete(leader), "the leader answers completely")
         calls = [asyncio.ensure_future(leader.query()) for _ in range(2)]
@@ -114,7 +114,7 @@
     async def scenario(fleet):
         fleet.standin(shards=2, replicas=3, domains="a,b,c")
         reply = await fleet.vms[0].put_service("demo")
-        await fleet.in_force(reply.revision)
+        await fleet.wait_in_force(reply.revision)
         vm = fleet.vms[1]
         await wait_until(lambda: is_complete(vm), "the VM answers completely")
         caller = asyncio.ensure_future(asyncio.to_thread(query_until_connection_closes, vm.http))
@@ -199,7 +199,7 @@
         standin = fleet.standin(shards=2, replicas=3, domains="a,b,c", latency_ms=500, sigma=0)
         kinds = [log_pb2.KindConfig(name="work_order")]
         reply = await fleet.vms[0].put_service("demo", kinds=kinds)
-        await fleet.in_force(reply.revision)
+        await fleet.wait_in_force(reply.revision)
         for vm in fleet.vms:
             await wait_until(lambda vm=vm: is_complete(vm), f"{vm.vm_id} answers completely")
         first, second = fleet.others(await fleet.leader())
@@ -210,7 +210,7 @@
             status, body = await second.request("POST", "/v1/query", work_order("order"))
             assert status == 200 or body["error"]["outcome"] == "unknown"
             statuses.append(status)
-        first.thaw()
+        first.resume()
         await asyncio.gather(call, return_exceptions=True)
         await asyncio.sleep(0.7)  # Longer than the service time, so that a late run is counted.
         count = (await standin.effects()).get("order", 0)
--- a/tests/test_process_whole_path.py
+++ b/tests/test_process_whole_path.py
@@ -24,7 +24,7 @@
             try:
                 fleet.standin(shards=4, replicas=3, domains="a,b,c")
                 await fleet.start()
-                await fleet.in_force((await fleet.vms[3].put_service("demo")).revision)
+                await fleet.wait_in_force((await fleet.vms[3].put_service("demo")).revision)
             except BaseException:
                 fleet.close()
                 raise
@@ -106,7 +106,7 @@
         for number in range(20):
             reply = await fleet.vms[number % 4].put_service(f"s{number}")
             accepted = time.monotonic()
-            await fleet.in_force(reply.revision)
+            await fleet.wait_in_force(reply.revision)
             slowest_s = max(slowest_s, time.monotonic() - accepted)
         assert slowest_s < 2.0
 
@@ -175,7 +175,7 @@
         fleet.standin(shards=2, replicas=3, domains="a,b,c")
         await fleet.vms[0].put_service("other")
         reply = await fleet.vms[0].put_service("demo")
-        await fleet.in_force(reply.revision)
+        await fleet.wait_in_force(reply.revision)
         for vm in fleet.vms:
             vm.kill()
         alone = fleet.vms[1]
