--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -17,7 +17,7 @@
 from bramleycrank.proto import log_pb2, operator_pb2, standin_pb2
 from bramleycrank.proto.standin_grpc import StandInStub
 from bramleycrank.transport.peer_client import PeerClients
-from harness.processes import HOST, Process, free_port, until
+from harness.processes import HOST, Process, free_port, wait_until
 
 VOTER_COUNT = 3
 START_TIMEOUT_S = 40.0
@@ -105,7 +105,7 @@
         """Send SIGTERM and wait until the daemon exits."""
         self.process.signal(signal.SIGTERM)
         process = self.process
-        await until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
+        await wait_until(lambda: process.exit_code is not None, f"{self.vm_id} exits", 90)
 
 
 class TargetGroup:
@@ -198,16 +198,16 @@
             vm.start()
         await asyncio.gather(*(group.start() for group in self.target_groups))
         for vm in self.vms:
-            await until(
+            await wait_until(
                 lambda vm=vm: vm.is_responsive(),
                 f"{vm.vm_id} responds to operators",
                 START_TIMEOUT_S,
             )
         await self._configure()
         for vm in self.vms:
-            await until(vm.is_ready, f"{vm.vm_id} is ready", START_TIMEOUT_S)
+            await wait_until(vm.is_ready, f"{vm.vm_id} is ready", START_TIMEOUT_S)
         for vm in self.vms:
-            await until(
+            await wait_until(
                 lambda vm=vm: self.has_full_coverage(vm),
                 f"{vm.vm_id} covers all shards",
                 START_TIMEOUT_S,
@@ -218,7 +218,7 @@
         stub = self.clients.operator_stub(self.vms[0].address)
         await stub.Bootstrap(operator_pb2.BootstrapRequest(addresses=addresses))
         for service in (self.shape.search, self.shape.records):
-            await until(lambda s=service: self.put_service(s.name, 0), "a service is created")
+            await wait_until(lambda s=service: self.put_service(s.name, 0), "a service is created")
 
     async def put_service(
         self, name: str, expected: int, via: Vm | None = None, **fields: int
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -11,7 +11,7 @@
 
 from bench.fleet import BenchFleet
 from bramleycrank.proto import standin_pb2, target_pb2
-from harness.processes import until
+from harness.processes import wait_until
 
 # Time from the start of the recorded load to the fault.
 FAULT_DELAY_S = 3.0
@@ -75,7 +75,7 @@
     group.process.signal(signal.SIGTERM)
     old_process = group.process
     group.stub_channel.close()
-    await until(lambda: old_process.exit_code is not None, "the targets exit", 30)
+    await wait_until(lambda: old_process.exit_code is not None, "the targets exit", 30)
     group.cold_s = 10.0
     await group.start()
 
@@ -125,7 +125,7 @@
     for vm in fleet.vms:
         await vm.stop_gracefully()
         vm.start()
-        await until(vm.is_ready, f"{vm.vm_id} is ready again", 40)
+        await wait_until(vm.is_ready, f"{vm.vm_id} is ready again", 40)
 
 
 SCENARIOS = {
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start the processes, load and disturb them, check what was promised."""
+"""One run of the soak: start the fleet, apply load and faults, check the guarantees."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 from typing import Any
 
 from harness.platform_fleet import Fleet
-from harness.processes import until
+from harness.processes import wait_until
 from soak import checks, report
 from soak.callers import Caller, Outcome
 from soak.faults import Injector
-from soak.targets import Ledger, SoakTarget
+from soak.targets import SoakTarget, TargetObservations
 
-ENTRIES = 3
-CALLERS = 4
-"""Callers of each machine for callers."""
+ENTRY_VMS = 3
+CALLERS_PER_ENTRY = 4
+"""Callers of each entry VM."""
 
-START_S = 20.0
-"""Time in which the fleet has to serve for the first time, in seconds."""
+START_TIMEOUT_S = 20.0
+"""Time limit until the fleet serves all requests after its start."""
 
-RECOVERY_S = 12.0
-"""Time after the last fault in which everything has to be served again, in seconds."""
+RECOVERY_TIMEOUT_S = 12.0
+"""Time limit until all requests are served again after the last fault."""
 
-CALM_S = 2.0
-"""How long it has to stay so, in seconds."""
+STABLE_PERIOD_S = 2.0
+"""Time during which all requests have to be served for the fleet to count as recovered."""
 
-CHANGE_S = 1.5
-"""Mean time between two changes of the routes, in seconds."""
+MEAN_CHANGE_INTERVAL_S = 1.5
+"""Mean time between two changes of the routes."""
 
 ZONES = "xyz"
 
 
-class Run:
-    """One seeded run.
+class SoakRun:
+    """One run of the soak with a seed.
 
     Parameters
     ----------
     seed : int
-        Decides faults, loads and changes; what the processes make of them varies.
+        Determines faults, load and changes; the timing of the processes still varies.
     seconds : float
-        How long faults begin.
+        Time during which new faults start.
     folder : Path
-        Where logs and reports are kept.
+        Folder for logs and reports.
     """
 
     def __init__(self, seed: int, seconds: float, folder: Path) -> None:
@@ -53,23 +53,25 @@
         self._seconds = seconds
         self._folder = folder
         self._rng = random.Random(seed)
-        self._fleet = Fleet(folder, ENTRIES)
-        self._ledger = Ledger()
+        self._fleet = Fleet(folder, ENTRY_VMS)
+        self._observations = TargetObservations()
         self._outcomes: list[Outcome] = []
-        self._found: list[str] = []
-        self._tops: set[int] = set()
-        self._acknowledged = 0
+        self._violations: list[str] = []
+        self._top_ks: set[int] = set()
+        self._acknowledged_version = 0
         self._targets = [
-            SoakTarget(service, f"{service}-{zone}", zone, self._ledger, random.Random(seed + n))
+            SoakTarget(
+                service, f"{service}-{zone}", zone, self._observations, random.Random(seed + n)
+            )
             for n, (service, zone) in enumerate(
                 itertools.product((*checks.SHARDS, checks.SINGLE), ZONES)
             )
         ]
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> dict[str, Any]:
-        """Run everything and return the report, which is also written."""
-        began = asyncio.get_running_loop().time()
+    async def execute(self) -> dict[str, Any]:
+        """Execute the run, write the report and return it."""
+        started_at = asyncio.get_running_loop().time()
         injector = Injector(self._fleet, self._targets, self._rng)
         try:
             await self._start()
@@ -83,76 +85,82 @@
                 process.reap()
             for target in self._targets:
                 await target.stop()
-        evidence = checks.Evidence(self._outcomes, self._ledger, injector.events, self._tops)
-        found = [*self._found, *injector.problems, *checks.violations(evidence)]
-        result = report.build(self._seed, began, self._outcomes, injector.events, found)
+        evidence = checks.Evidence(
+            self._outcomes, self._observations, injector.events, self._top_ks
+        )
+        violations = [*self._violations, *injector.problems, *checks.violations(evidence)]
+        result = report.build(self._seed, started_at, self._outcomes, injector.events, violations)
         report.write(result, self._folder)
         return result
 
     async def _start(self) -> None:
         for target in self._targets:
             await target.start()
-            self._spawn(target.report(self._fleet))
-        for machine in [*self._fleet.voters, *self._fleet.entries]:
-            machine.start(bootstrap=True)
-        await self._change()
-        for number, entry in enumerate(self._fleet.entries * CALLERS):
+            self._start_task(target.report(self._fleet))
+        for vm in [*self._fleet.voters, *self._fleet.entries]:
+            vm.start(bootstrap=True)
+        await self._change_routes()
+        for number, entry in enumerate(self._fleet.entries * CALLERS_PER_ENTRY):
             rng = random.Random(self._seed * 1000 + number)
             caller = Caller(f"c{number}", entry, self._outcomes, rng)
-            self._spawn(caller.run())
-        await until(lambda: self._served_since(0.5), "the fleet serves", START_S)
-        self._spawn(self._change_often())
-        self._spawn(self._read_often())
+            self._start_task(caller.run())
+        await wait_until(lambda: self._all_served_for(0.5), "the fleet serves", START_TIMEOUT_S)
+        self._start_task(self._change_routes_repeatedly())
+        self._start_task(self._check_reads_repeatedly())
 
-    def _spawn(self, coro: Any) -> None:
+    def _start_task(self, coro: Any) -> None:
         self._tasks.append(asyncio.ensure_future(coro))
 
     async def _recover(self) -> None:
-        """Wait until all is served, at most for the time that is promised."""
+        """Wait until all requests are served, and record a violation after the time limit."""
         try:
-            await until(lambda: self._served_since(CALM_S), "all is served", RECOVERY_S + CALM_S)
+            await wait_until(
+                lambda: self._all_served_for(STABLE_PERIOD_S),
+                "all requests are served",
+                RECOVERY_TIMEOUT_S + STABLE_PERIOD_S,
+            )
         except AssertionError:
-            late = [o for o in self._recent(CALM_S) if o.status != 200]
-            self._found.append(
-                f"{RECOVERY_S} s after the last fault not all is served: "
-                f"{[(o.request_id, o.path, o.entry, o.status) for o in late[:5]]}"
+            unserved = [o for o in self._recent_outcomes(STABLE_PERIOD_S) if o.status != 200]
+            self._violations.append(
+                f"{RECOVERY_TIMEOUT_S} s after the last fault some requests are not served: "
+                f"{[(o.request_id, o.path, o.entry, o.status) for o in unserved[:5]]}"
             )
 
-    def _recent(self, seconds: float) -> list[Outcome]:
+    def _recent_outcomes(self, seconds: float) -> list[Outcome]:
         since = asyncio.get_running_loop().time() - seconds
         return [outcome for outcome in self._outcomes if outcome.ended > since]
 
-    def _served_since(self, seconds: float) -> bool:
-        recent = self._recent(seconds)
+    def _all_served_for(self, seconds: float) -> bool:
+        recent = self._recent_outcomes(seconds)
         entries = {outcome.entry for outcome in recent}
-        return len(entries) == ENTRIES and all(outcome.status == 200 for outcome in recent)
-
-    # Routes.
+        return len(entries) == ENTRY_VMS and all(outcome.status == 200 for outcome in recent)
 
-    async def _change(self) -> None:
-        version = self._acknowledged + 1
+    async def _change_routes(self) -> None:
+        version = self._acknowledged_version + 1
         top = self._rng.randint(3, 9)
-        self._tops.add(top)  # it may be in force before its acknowledgement
-        await self._fleet.put(routes(version, top))
-        self._acknowledged = version
+        self._top_ks.add(top)  # the change may be in force before it is acknowledged
+        await self._fleet.put_config(routes(version, top))
+        self._acknowledged_version = version
 
-    async def _change_often(self) -> None:
+    async def _change_routes_repeatedly(self) -> None:
         rng = random.Random(self._seed + 1)
         while True:
-            await asyncio.sleep(rng.expovariate(1 / CHANGE_S))
+            await asyncio.sleep(rng.expovariate(1 / MEAN_CHANGE_INTERVAL_S))
             try:
-                await self._change()
+                await self._change_routes()
             except AssertionError as exc:
-                self._found.append(str(exc))
+                self._violations.append(str(exc))
 
-    async def _read_often(self) -> None:
-        """Read the routes from any voter: an acknowledged version is never lost or older."""
+    async def _check_reads_repeatedly(self) -> None:
+        """Check that no voter returns a version older than an acknowledged one."""
         for voter in itertools.cycle(self._fleet.voters):
             await asyncio.sleep(0.2)
-            least = self._acknowledged
-            version = (await self._fleet.read(voter)).get("Version", least)
-            if version < least:
-                self._found.append(f"{voter.name} read version {version} after {least}")
+            least_version = self._acknowledged_version
+            version = (await self._fleet.read_config(voter)).get("Version", least_version)
+            if version < least_version:
+                self._violations.append(
+                    f"{voter.name} read version {version} after {least_version}"
+                )
 
 
 def routes(version: int, top: int) -> dict[str, Any]:
@@ -182,16 +190,16 @@
     }
 
 
-def play(seed: int, seconds: float, folder: Path) -> dict[str, Any]:
-    """Play one seed and return its report.
+def run_seed(seed: int, seconds: float, folder: Path) -> dict[str, Any]:
+    """Run one seed and return its report.
 
     Raises
     ------
     AssertionError
-        The fleet did not serve at the start.
+        The fleet did not serve all requests in time after its start.
     """
     folder.mkdir(parents=True, exist_ok=True)
     started = time.monotonic()
-    result = asyncio.run(Run(seed, seconds, folder).play())
+    result = asyncio.run(SoakRun(seed, seconds, folder).execute())
     result["played_s"] = round(time.monotonic() - started, 1)
     return result
