--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -138,7 +138,7 @@
         self._render_metrics = render_metrics
         super().__init__()
         self._parts: ControlParts | None = None
-        self._far_contact: DomainIsolation | None = None
+        self._domain_isolation: DomainIsolation | None = None
         self._voter_keeper: VoterManager | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
@@ -185,7 +185,7 @@
 
         A service without any target does not count, because no VM can serve it.
         """
-        return self._far_contact.is_isolated and not self._entry.can_serve
+        return self._domain_isolation.is_isolated and not self._entry.can_serve
 
     # Steps of the life cycle.
 
@@ -204,8 +204,8 @@
             control_only=cfg.entry is None,
         )
         loop = asyncio.get_running_loop()
-        self._far_contact = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
-        parts.membership.subscribe_config_status(self._far_contact.on_gossip)
+        self._domain_isolation = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
+        parts.membership.subscribe_config_status(self._domain_isolation.on_gossip)
         await self._listen(cfg.metrics, FunctionHandler(self._on_metrics))
         await self._listen(cfg.readiness, FunctionHandler(self._on_readiness))
         await parts.consensus.start()
