--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -139,7 +139,7 @@
         super().__init__()
         self._parts: ControlParts | None = None
         self._domain_isolation: DomainIsolation | None = None
-        self._voter_keeper: VoterManager | None = None
+        self._voter_manager: VoterManager | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
         self._grpc: Server | None = None
@@ -156,7 +156,7 @@
             "vm": {"id": self._cfg.base.vm.id, "domain": self._cfg.base.vm.domain},
             "life_cycle": self.life_cycle.dump(),
             "consensus": parts and parts.consensus.dump(),
-            "voters": self._voter_keeper and self._voter_keeper.dump(),
+            "voters": self._voter_manager and self._voter_manager.dump(),
             "config": parts and parts.config.dump(),
             "membership": parts and parts.membership.dump(),
             "traffic": parts and parts.clients.traffic.dump(),
@@ -210,13 +210,13 @@
         await self._listen(cfg.readiness, FunctionHandler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
-        self._voter_keeper = VoterManager(
+        self._voter_manager = VoterManager(
             cfg.voting, parts.consensus, parts.voters, parts.clients, parts.peers, rng
         )
-        peer = PeerService(parts.membership, parts.config, parts.consensus, self._voter_keeper)
+        peer = PeerService(parts.membership, parts.config, parts.consensus, self._voter_manager)
         self._grpc = Server([peer])
         await self._grpc.start(cfg.base.listen.grpc.host, cfg.base.listen.grpc.port)
-        self._voter_keeper.start()
+        self._voter_manager.start()
         if cfg.entry is not None:
             await self._start_entry(parts, rng, cfg.entry)
         if cfg.control is not None:
@@ -302,8 +302,8 @@
             task.cancel()
         if self._entry is not None:
             await self._entry.stop()
-        if self._voter_keeper is not None:
-            await self._voter_keeper.stop()
+        if self._voter_manager is not None:
+            await self._voter_manager.stop()
         parts = self._parts
         if parts is None:
             return
