--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -62,7 +62,7 @@
         Receives the metrics.
     rng : random.Random
         Source of random choices.
-    is_cut_off : callable, optional
+    is_isolated : callable, optional
         Returns whether this VM's domain is isolated, so that callers should connect to another VM.
     link_bytes_per_s : float, optional
         Bandwidth of this VM's link in bytes per second; 0 if unknown.
@@ -81,12 +81,12 @@
         extra: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
-        is_cut_off: Callable[[], bool] = lambda: False,
+        is_isolated: Callable[[], bool] = lambda: False,
         link_bytes_per_s: float = 0.0,
         memory_bytes: int = 0,
         traffic: Traffic | None = None,
     ) -> None:
-        self._is_cut_off = is_cut_off
+        self._is_cut_off = is_isolated
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
         self._started_at = self._clock()
