--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -86,7 +86,7 @@
         memory_bytes: int = 0,
         traffic: Traffic | None = None,
     ) -> None:
-        self._is_cut_off = is_isolated
+        self._is_isolated = is_isolated
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
         self._started_at = self._clock()
@@ -353,7 +353,7 @@
         status, headers, body, outcome = render(self._dialect, call.meta, action)
         route = call.execution.route
         # On an open connection the caller's next request would reach this isolated VM again.
-        close = isinstance(action, Refusal) and self._is_cut_off()
+        close = isinstance(action, Refusal) and self._is_isolated()
         call.exchange.respond(status, headers, body, close=close)
         self._delivery.on_answer(route, len(body) + size_of(headers))
         now = self._clock()
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -178,9 +178,9 @@
             return ""
         if not self._entry.has_routes:
             return "no routes are known yet"
-        return "cut off from the targets of some routes" if self._is_cut_off() else ""
+        return "cut off from the targets of some routes" if self._is_isolated() else ""
 
-    def _is_cut_off(self) -> bool:
+    def _is_isolated(self) -> bool:
         """Return whether VMs of other failure domains would serve callers better.
 
         A service without any target does not count, because no VM can serve it.
@@ -242,7 +242,7 @@
             self._cfg.extra,
             self._metrics,
             rng,
-            self._is_cut_off,
+            self._is_isolated,
             self._cfg.link_bytes_per_s,
             self._cfg.memory_bytes,
             parts.clients.traffic,
