--- a/bramleycrank/state/peer_hints.py
+++ b/bramleycrank/state/peer_hints.py
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, is_remote: Callable[[str], bool] = lambda address: False) -> None:
-        self._is_far = is_remote
+        self._is_remote = is_remote
         self.leader_address = ""
         self.highest_revision = 0
         self._leader_confirmed_at = float("-inf")
@@ -106,8 +106,8 @@
 
     def is_remote(self, address: str) -> bool:
         """Return whether a peer is in another failure domain."""
-        return self._is_far(address)
+        return self._is_remote(address)
 
     def _prefer_own_domain(self, addresses: Iterable[str]) -> list[str]:
         candidates = list(addresses)
-        return [address for address in candidates if not self._is_far(address)] or candidates
+        return [address for address in candidates if not self._is_remote(address)] or candidates
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -190,7 +190,7 @@
     def start(self, vm):
         super().start(vm)
         own = self.domains[vm.address]
-        vm.follower._hints._is_far = lambda address: self.domains[address] != own
+        vm.follower._hints._is_remote = lambda address: self.domains[address] != own
 
     def execute(self, vm, actions):
         super().execute(vm, actions)
