--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -396,6 +396,6 @@
         waiting.sort(key=lambda c: c.execution.wait_order(now))
         while waiting:
             call = waiting.pop(0)
-            self._execute(call, call.execution.on_room(service, now))
+            self._execute(call, call.execution.on_capacity(service, now))
             if service in call.execution.waiting:
                 break
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -127,7 +127,7 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_room(self, service: str, now: float) -> list[Action]:
+    def on_capacity(self, service: str, now: float) -> list[Action]:
         """Send the waiting sub-request of a service whose targets may have free capacity."""
         actions: list[Action] = []
         for shard in self._shards:
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -212,7 +212,7 @@
     execution, subs, _ = begin(single_route(), policy)
     assert not subs and execution.waiting == {"records"}
     policy.busy.clear()
-    [sub] = actions_of(Forward, execution.on_room("records", 0.1))
+    [sub] = actions_of(Forward, execution.on_capacity("records", 0.1))
     assert sub.target_id == "records-0" and not execution.waiting
 
 
@@ -223,7 +223,7 @@
     policy.busy = {"records-1", "records-2"}
     assert execution.on_failure(subs["records"].sub_id, REFUSED, 0.01) == []
     policy.busy.clear()
-    [refusal] = execution.on_room("records", 0.1)
+    [refusal] = execution.on_capacity("records", 0.1)
     assert isinstance(refusal, Refusal) and refusal.not_run
 
 
