--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -33,7 +33,7 @@
 LATE_FACTOR = 2.0
 """Multiple of the objective up to which an answer that already misses it waits for more parts."""
 
-RECHECK_S = 0.01
+MIN_HEDGE_RECHECK_DELAY_S = 0.01
 """Minimum delay before a hedge that could not be sent is considered again, in seconds."""
 
 RECHECK_SHARE = 0.25
@@ -261,7 +261,9 @@
             elif self._try_hedge(shard, unhedged_shards, now, actions):
                 unhedged_shards -= 1
             else:
-                shard.hedge_at = now + max(RECHECK_S, RECHECK_SHARE * (now - self._arrived))
+                shard.hedge_at = now + max(
+                    MIN_HEDGE_RECHECK_DELAY_S, RECHECK_SHARE * (now - self._arrived)
+                )
         self._next_hedge_at = min(
             (s.hedge_at for s in self._shards if not s.ended), default=math.inf
         )
