--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -36,7 +36,7 @@
 MIN_HEDGE_RECHECK_DELAY_S = 0.01
 """Minimum delay before a hedge that could not be sent is considered again, in seconds."""
 
-RECHECK_SHARE = 0.25
+HEDGE_RECHECK_AGE_SHARE = 0.25
 """The same delay as a share of the request's age; bounds the checks when many shards are slow."""
 
 MAX_REFUSED = 2
@@ -262,7 +262,7 @@
                 unhedged_shards -= 1
             else:
                 shard.hedge_at = now + max(
-                    MIN_HEDGE_RECHECK_DELAY_S, RECHECK_SHARE * (now - self._arrived)
+                    MIN_HEDGE_RECHECK_DELAY_S, HEDGE_RECHECK_AGE_SHARE * (now - self._arrived)
                 )
         self._next_hedge_at = min(
             (s.hedge_at for s in self._shards if not s.ended), default=math.inf
