--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -10,7 +10,7 @@
 from bramleycrank.scatter.delivery import ROUND_TRIP_S
 from bramleycrank.scatter.merge import trim_records
 from bramleycrank.scatter.policy import ScatterPolicy
-from bramleycrank.scatter.progress import Shard, Sub
+from bramleycrank.scatter.progress import OpenSubRequest, Shard
 from bramleycrank.scatter.stream import LATEST_STREAM_SHARE, ReplyStream
 from bramleycrank.scatter.types import (
     NOT_RUN_KINDS,
@@ -83,7 +83,7 @@
         self._deadline = min(deadline, arrived + route.timeout_s)
         services = route.services if route.gather else (route.choose_service(),)
         self._shards = [Shard(service) for service in services]
-        self._open_subs: dict[int, tuple[Shard, Sub]] = {}
+        self._open_subs: dict[int, tuple[Shard, OpenSubRequest]] = {}
         stream_deadline = arrived + LATEST_STREAM_SHARE * route.objective_s
         self._stream = ReplyStream(len(self._shards), stream_deadline)
         self._lost = 0
@@ -230,7 +230,7 @@
         return first or self._policy.spend_retry_budget(shard.service, now)
 
     def _send(self, shard: Shard, target_id: str, now: float, actions: list[Action]) -> None:
-        sub = Sub(next(self._sub_ids), target_id, now)
+        sub = OpenSubRequest(next(self._sub_ids), target_id, now)
         shard.open.append(sub)
         shard.tried.append(target_id)
         shard.sends += 1
@@ -313,7 +313,7 @@
         self._send(shard, target_id, now, actions)
         return True
 
-    def _remove_sub(self, shard: Shard, sub: Sub) -> None:
+    def _remove_sub(self, shard: Shard, sub: OpenSubRequest) -> None:
         del self._open_subs[sub.sub_id]
         shard.open.remove(sub)
 
--- a/bramleycrank/scatter/progress.py
+++ b/bramleycrank/scatter/progress.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(eq=False)
-class Sub:
+class OpenSubRequest:
     """A sub-request that has not ended."""
 
     sub_id: int
@@ -23,7 +23,7 @@
     """Progress of the request at one service."""
 
     service: str
-    open: list[Sub] = attrs.field(factory=list)
+    open: list[OpenSubRequest] = attrs.field(factory=list)
     tried: list[str] = attrs.field(factory=list)
     sends: int = 0
     refused: int = 0
