--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -53,7 +53,7 @@
     def on_late(self, sub: PooledSubRequest, response: Any) -> None:
         """Handle the response to a cancelled sub-request; `on_cancel_completed` follows."""
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
--- a/bramleycrank/daemon/entry_call.py
+++ b/bramleycrank/daemon/entry_call.py
@@ -40,7 +40,7 @@
     def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
         """Process the response to a cancelled sub-request."""
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Record that a cancelled sub-request no longer occupies a slot of its target."""
 
 
@@ -65,6 +65,6 @@
         """Process the response to a cancelled sub-request."""
         self._controller.on_late(self._call, sub, response)
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Forward the end of a cancelled sub-request."""
-        self._controller.on_cancel_completed(sub, ending)
+        self._controller.on_cancel_completed(sub, outcome)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -335,11 +335,11 @@
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Record that a cancelled sub-request no longer occupies a slot of its target."""
         now = self._clock()
-        latency_s = now - sub.started if ending is CancelOutcome.ANSWERED else None
-        silent = ending is CancelOutcome.SILENT
+        latency_s = now - sub.started if outcome is CancelOutcome.ANSWERED else None
+        silent = outcome is CancelOutcome.SILENT
         self._targets.policy.on_cancel_completed(sub.target_id, latency_s, now, silent=silent)
 
     def _record_failure(self, call: Call, sub: PooledSubRequest, reason: str) -> None:
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -78,8 +78,8 @@
     def on_late(self, sub, response):
         self.events.append(("late", sub.sub_id))
 
-    def on_cancel_completed(self, sub, ending):
-        self.events.append((ending, sub.sub_id))
+    def on_cancel_completed(self, sub, outcome):
+        self.events.append((outcome, sub.sub_id))
 
 
 def test_a_connection_carries_one_request_at_a_time_and_is_used_again():
