--- a/bramleycrank/daemon/consensus_controller.py
+++ b/bramleycrank/daemon/consensus_controller.py
@@ -80,7 +80,7 @@
             traffic=traffic,
         )
         self._callbacks: list[Callable[[], None]] = []
-        self._floors = ClaimFloorProposer(self)
+        self._floor_proposer = ClaimFloorProposer(self)
         self._role_changed = asyncio.Event()
         self._router = ProposalRouter(
             identity.address,
@@ -96,11 +96,11 @@
         if self.identity.data_dir is None or not self.identity.vote:
             return
         self._host.open()
-        self._floors.start()
+        self._floor_proposer.start()
 
     async def stop(self) -> None:
         """Stop the Raft node and close the log."""
-        self._floors.stop()
+        self._floor_proposer.stop()
         self._host.stop()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
--- a/tests/test_daemon_consensus_controller.py
+++ b/tests/test_daemon_consensus_controller.py
@@ -47,7 +47,7 @@
         state = SimpleNamespace(floor_proposal=floor_proposal)
         node = SimpleNamespace(membership=log_pb2.Membership(members=[log_pb2.Member()]))
         controller._host.runner = SimpleNamespace(node=node, failure=None, state=state)
-        task = asyncio.ensure_future(controller._floors._run())
+        task = asyncio.ensure_future(controller._floor_proposer._run())
         async with asyncio.timeout(2):
             while len(calls) < 2 and not task.done():
                 await asyncio.sleep(0.01)
