--- a/bramleycrank/daemon/voter_manager.py
+++ b/bramleycrank/daemon/voter_manager.py
@@ -71,7 +71,7 @@
     seeds: tuple[str, ...] = ()
 
 
-def next_change(
+def next_membership_change(
     members: Sequence[log_pb2.Member],
     own_id: str,
     silent_s: dict[str, float],
@@ -262,7 +262,7 @@
                 await stub.Join(request, timeout=CALL_TIMEOUT_S)
 
     async def _change_members(self, membership: log_pb2.Membership) -> None:
-        change = next_change(
+        change = next_membership_change(
             membership.members,
             self._consensus.node_id,
             self._consensus.member_silence_s(),
--- a/tests/test_voter_keeper.py
+++ b/tests/test_voter_keeper.py
@@ -13,7 +13,7 @@
     LOST_LEADER_S,
     VoterManager,
     VotingConfig,
-    next_change,
+    next_membership_change,
 )
 from bramleycrank.exceptions import NotLeader
 from bramleycrank.proto.log_pb2 import Member, Membership
@@ -30,49 +30,49 @@
 
 
 def test_healthy_cluster_is_not_changed():
-    assert next_change(THREE, "a/1", {"b/1": 0.1, "c/1": 0.1}, []) is None
+    assert next_membership_change(THREE, "a/1", {"b/1": 0.1, "c/1": 0.1}, []) is None
 
 
 def test_old_node_of_a_vm_with_a_new_disk_is_removed_before_the_new_one_joins():
     newcomer = member("b", 2)
-    change = next_change(THREE, "a/1", {}, [newcomer])
+    change = next_membership_change(THREE, "a/1", {}, [newcomer])
     assert change == Remove("b/1")
     remaining = [THREE[0], THREE[2]]
-    assert next_change(remaining, "a/1", {}, [newcomer]) == AddLearner(newcomer)
+    assert next_membership_change(remaining, "a/1", {}, [newcomer]) == AddLearner(newcomer)
     learner = member("b", 2, voter=False)
-    assert next_change([*remaining, learner], "a/1", {"b/2": 0.1}, []) == Promote("b/2")
+    assert next_membership_change([*remaining, learner], "a/1", {"b/2": 0.1}, []) == Promote("b/2")
 
 
 def test_vm_at_the_address_of_a_member_replaces_it():
     newcomer = member("d", host="host-c")
-    assert next_change(THREE, "a/1", {}, [newcomer]) == Remove("c/1")
+    assert next_membership_change(THREE, "a/1", {}, [newcomer]) == Remove("c/1")
 
 
 def test_fourth_vm_stays_a_learner_until_a_voter_is_dead():
     members = [*THREE, member("d", voter=False)]
     silent = {"b/1": 0.1, "c/1": 0.1, "d/1": 0.1}
-    assert next_change(members, "a/1", silent, []) is None
+    assert next_membership_change(members, "a/1", silent, []) is None
     silent["c/1"] = DEAD_AFTER_S + 1
-    assert next_change(members, "a/1", silent, []) == Remove("c/1")
-    assert next_change([m for m in members if m.node_id != "c/1"], "a/1", silent, []) == Promote(
-        "d/1"
-    )
+    assert next_membership_change(members, "a/1", silent, []) == Remove("c/1")
+    assert next_membership_change(
+        [m for m in members if m.node_id != "c/1"], "a/1", silent, []
+    ) == Promote("d/1")
 
 
 def test_silent_voter_stays_a_member_while_no_learner_can_replace_it():
-    assert next_change(THREE, "a/1", {"b/1": 60.0, "c/1": 0.1}, []) is None
+    assert next_membership_change(THREE, "a/1", {"b/1": 60.0, "c/1": 0.1}, []) is None
 
 
 def test_silent_learner_does_not_replace_a_voter():
     members = [*THREE, member("d", voter=False)]
-    assert next_change(members, "a/1", {"c/1": 60.0, "d/1": 60.0}, []) is None
+    assert next_membership_change(members, "a/1", {"c/1": 60.0, "d/1": 60.0}, []) is None
 
 
 def test_number_of_voters_is_odd_and_at_most_seven():
     for count in range(4, 9):
         members = [*THREE, *(member(f"m{n}", voter=False) for n in range(count - 3))]
         for _ in range(20):
-            change = next_change(members, "a/1", {}, [])
+            change = next_membership_change(members, "a/1", {}, [])
             if change is None:
                 break
             assert isinstance(change, Promote)
@@ -94,7 +94,7 @@
         newcomer = member(name, disks[name], voter=False)
         for step in itertools.count():
             assert step < 10
-            change = next_change(members, "a/1", {}, [newcomer])
+            change = next_membership_change(members, "a/1", {}, [newcomer])
             match change:
                 case None:
                     break
