--- a/bramleycrank/daemon/voter_manager.py
+++ b/bramleycrank/daemon/voter_manager.py
@@ -40,7 +40,7 @@
 joins again as a learner and keeps its log.
 """
 
-LOST_LEADER_S = 2.0
+LEADER_SILENCE_S = 2.0
 """Silence of the leader after which a member requests to join again, in seconds.
 
 A VM that is removed during a partition does not learn of its removal: the leader stops sending to
@@ -226,7 +226,7 @@
             await self._join()
         elif consensus.is_leader:
             await self._change_members(membership)
-        elif consensus.leader_silence_s() > LOST_LEADER_S:
+        elif consensus.leader_silence_s() > LEADER_SILENCE_S:
             await self._join()
 
     def _may_bootstrap(self) -> bool:
--- a/tests/test_voter_keeper.py
+++ b/tests/test_voter_keeper.py
@@ -10,7 +10,7 @@
 from bramleycrank.consensus import AddLearner, Promote, Remove
 from bramleycrank.daemon.voter_manager import (
     DEAD_AFTER_S,
-    LOST_LEADER_S,
+    LEADER_SILENCE_S,
     VoterManager,
     VotingConfig,
     next_membership_change,
@@ -162,7 +162,7 @@
 
 
 def test_member_that_was_removed_during_a_partition_requests_to_join_again():
-    assert join_calls(LOST_LEADER_S + 1)[-1] == "10.0.0.1:7"
+    assert join_calls(LEADER_SILENCE_S + 1)[-1] == "10.0.0.1:7"
 
 
 def test_member_with_a_reachable_leader_sends_no_join_request():
