--- a/bramleycrank/daemon/session_controller.py
+++ b/bramleycrank/daemon/session_controller.py
@@ -198,7 +198,7 @@
     def _on_target(self, record: TargetRecord) -> None:
         link = self._links.get(record.target_id)
         usable = self._membership.is_usable(record.target_id)
-        if link is not None and (not usable or not link.serves(record)):
+        if link is not None and (not usable or not link.matches(record)):
             del self._links[record.target_id]
             if link.retire():
                 self._retiring.add(link)
@@ -216,7 +216,7 @@
         A second link would exceed the connection limit of the target.
         """
         for link in self._links_of(record.target_id):
-            if link.busy and link.serves(record):
+            if link.busy and link.matches(record):
                 self._retiring.discard(link)
                 link.resume()
                 return link
--- a/bramleycrank/daemon/target_link.py
+++ b/bramleycrank/daemon/target_link.py
@@ -122,7 +122,7 @@
 
     # Life cycle.
 
-    def serves(self, record: TargetRecord) -> bool:
+    def matches(self, record: TargetRecord) -> bool:
         """Return whether a record describes the process that the link connects to."""
         own = self._record
         return (own.host, own.port, own.incarnation) == (
