--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -129,7 +129,7 @@
     _mechanism(
         "new targets pushed",
         "all targets report anew",
-        ("membership/target_registry", "NEW_FANOUT", "0"),
+        ("membership/target_registry", "NEW_TARGETS_FANOUT", "0"),
     ),
     _mechanism(
         "not ready while cut off",
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -33,7 +33,7 @@
 
 # Number of VMs to which a home VM pushes targets that are new to it. Gossip alone takes a few probe
 # periods, during which VMs that have just started would have no targets.
-NEW_FANOUT = 8
+NEW_TARGETS_FANOUT = 8
 
 
 @attrs.define
@@ -302,7 +302,7 @@
         """Return the push of all targets that are new since the last call."""
         new = tuple(self._new_targets.values())
         self._new_targets.clear()
-        return [PushRecords(new, fanout=NEW_FANOUT)] if new else []
+        return [PushRecords(new, fanout=NEW_TARGETS_FANOUT)] if new else []
 
     def usable(self, service: str, now: float) -> list[TargetRecord]:
         """Return the targets of a service that may get new sub-requests."""
--- a/tests/test_membership_new_targets.py
+++ b/tests/test_membership_new_targets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bramleycrank.membership import MembershipConfig
-from bramleycrank.membership.target_registry import NEW_FANOUT, TargetRegistry
+from bramleycrank.membership.target_registry import NEW_TARGETS_FANOUT, TargetRegistry
 from bramleycrank.membership.types import PushRecords
 from bramleycrank.proto.target_pb2 import TARGET_STATE_SERVING, AnnounceRequest, TargetRecord
 
@@ -31,7 +31,7 @@
     for number in range(30):
         announce(registry, f"t{number}", 1, 0.1)
     [push] = pushes(registry, 0.2)
-    assert len(push.records) == 30 and push.fanout == NEW_FANOUT
+    assert len(push.records) == 30 and push.fanout == NEW_TARGETS_FANOUT
 
 
 def test_renewals_are_not_pushed():
