--- a/bramleycrank/state/config_state.py
+++ b/bramleycrank/state/config_state.py
@@ -16,7 +16,7 @@
     VmConfig,
 )
 from bramleycrank.routing.packing import same_content
-from bramleycrank.state.types import DELTA_RING
+from bramleycrank.state.types import MAX_DELTAS
 from bramleycrank.state.validation import MAX_SERVICES, MAX_VMS, change_problem
 
 
@@ -31,7 +31,7 @@
         self.services: dict[str, ServiceConfig] = {}
         self.vms: dict[str, VmConfig] = {}
         self.routes = RouteTable()
-        self._deltas: deque[ConfigDelta] = deque(maxlen=DELTA_RING)
+        self._deltas: deque[ConfigDelta] = deque(maxlen=MAX_DELTAS)
 
     @classmethod
     def from_image(cls, image: ConfigImage, deltas: Iterable[ConfigDelta] = ()) -> ConfigState:
--- a/bramleycrank/state/types.py
+++ b/bramleycrank/state/types.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-DELTA_RING = 1024
+MAX_DELTAS = 1024
 REMEMBERED_CHANGES = 10_000
 MAX_ANSWER_BYTES = 4096
 # A VM may use 128 MB for control, and uses 70 MB when idle. A claim takes about 500 bytes with an
