--- a/bramleycrank/state/peer_hints.py
+++ b/bramleycrank/state/peer_hints.py
@@ -76,7 +76,7 @@
         if address in self._peers:
             self._peers[address].not_before = until
 
-    def ahead(self, revision: int, now: float) -> list[str]:
+    def with_higher_revision(self, revision: int, now: float) -> list[str]:
         """Return the available peers with a higher revision, of the own domain if there are any."""
         return self._prefer_own_domain(
             address
