--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -60,7 +60,7 @@
         Source of jitter and of the choice of peers.
     now : float
         Current time in seconds.
-    is_far : callable, optional
+    is_remote : callable, optional
         Returns whether a peer is in another failure domain.
     """
 
@@ -149,7 +149,7 @@
     def on_fetch_failed(self, peer_address: str, now: float) -> list[FollowerAction]:
         """Handle the failure of a ``FetchConfig`` action."""
         self._fetches.pop(peer_address, None)
-        self._hints.forget(peer_address)
+        self._hints.remove(peer_address)
         return self._next_actions(now)
 
     def on_local(
@@ -285,8 +285,9 @@
     def _fetch_from_leader(self, now: float) -> list[FollowerAction]:
         """Fetch from the leader while starting, and when peers cannot bring this VM up to date."""
         late = self.stale_s(now) > self._cfg.lease_s * _ASK_LEADER_SHARE
-        behind = self._hints.highest_revision > self.config.revision and not self._hints.any_ahead(
-            self.config.revision
+        behind = (
+            self._hints.highest_revision > self.config.revision
+            and not self._hints.any_higher_revision(self.config.revision)
         )
         if now < self._ask_leader_at or not (late or behind or not self._ready):
             return []
@@ -298,9 +299,9 @@
 
     def _fetch_from_peer(self, now: float) -> list[FollowerAction]:
         """Fetch from a peer with a higher revision, or else from one with a newer confirmation."""
-        ahead = self._hints.ahead(self.config.revision, now)
-        if ahead:
-            address = self._rng.choice(ahead)
+        peers = self._hints.peers_with_higher_revision(self.config.revision, now)
+        if peers:
+            address = self._rng.choice(peers)
             return (
                 self._start_fetch(address, False, now) if self._may_fetch_from(address, now) else []
             )
@@ -310,12 +311,12 @@
         if age_s <= lease_s * _ASK_PEER_SHARE:
             return []
         # A confirmation that is newer by less than a twelfth of the lease does not justify a call.
-        address = self._hints.fresher(now - age_s + lease_s / 12, now)
+        address = self._hints.peer_with_newer_confirmation(now - age_s + lease_s / 12, now)
         if address and self._hints.is_remote(address) and age_s <= lease_s * _ASK_REMOTE_SHARE:
             return []
         if not address and age_s > lease_s * _ASK_LEADER_SHARE and now >= self._ask_any_peer_at:
             # The last status of every peer is too old, but some may have newer ones by now.
-            address = self._rng.choice(self._hints.askable(now) or [""])
+            address = self._rng.choice(self._hints.available_peers(now) or [""])
             self._ask_any_peer_at = now + self._cfg.retry_s
         return self._start_fetch(address, False, now)
 
--- a/bramleycrank/state/peer_hints.py
+++ b/bramleycrank/state/peer_hints.py
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    is_far : callable, optional
+    is_remote : callable, optional
         Returns whether a peer is in another failure domain.
     """
 
@@ -67,7 +67,7 @@
         self.leader_address = f"{host}:{port}"
         self._leader_confirmed_at = now
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Remove an unreachable peer."""
         self._peers.pop(address, None)
 
@@ -76,7 +76,7 @@
         if address in self._peers:
             self._peers[address].not_before = until
 
-    def with_higher_revision(self, revision: int, now: float) -> list[str]:
+    def peers_with_higher_revision(self, revision: int, now: float) -> list[str]:
         """Return the available peers with a higher revision, of the own domain if there are any."""
         return self._prefer_own_domain(
             address
@@ -84,15 +84,15 @@
             if hint.revision > revision and hint.not_before <= now
         )
 
-    def askable(self, now: float) -> list[str]:
+    def available_peers(self, now: float) -> list[str]:
         """Return the peers that may be asked now."""
         return [address for address, hint in self._peers.items() if hint.not_before <= now]
 
-    def any_ahead(self, revision: int) -> bool:
+    def any_higher_revision(self, revision: int) -> bool:
         """Return whether a known peer has a higher revision."""
         return any(hint.revision > revision for hint in self._peers.values())
 
-    def fresher(self, since: float, now: float) -> str:
+    def peer_with_newer_confirmation(self, since: float, now: float) -> str:
         """Return the available peer with the newest confirmation after ``since``; empty if none.
 
         A peer of the own domain is preferred to a more recent one in another failure domain.
