--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -178,7 +178,7 @@
         if conn is None:
             return []
         self._next_tick_at = now
-        # Back off from a target that accepts and closes at once, to keep budget for the others.
+        # Back off from a target that accepts and closes immediately, to keep budget for the others.
         stable = now - conn.opened_at >= self._cfg.retry_max_s
         self._failures = 0 if stable else self._failures + 1
         if self._check is not None and self._check.conn_id == conn_id:
--- a/bramleycrank/consensus/leadership.py
+++ b/bramleycrank/consensus/leadership.py
@@ -227,7 +227,7 @@
             self._promotion is not None or core.log.membership_index > core.commit_index
         )
         # Until an entry of this term is committed, other logs may hold an older leader's change.
-        # Two changes at once could allow majorities without a common voter.
+        # Two concurrent changes could allow majorities without a common voter.
         if change_pending or not self.has_committed_in_term:
             raise MembershipChangeInProgress(outcome=Outcome.NOT_RUN)
         new_membership = quorum.membership_after(core.log.membership, change)
--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -45,7 +45,7 @@
 # Delay after a failed tick: it may fail each time, and its tracebacks must not fill the log.
 FAILED_TICK_DELAY_S = 1.0
 
-# Number of VMs to which the leader pushes a new revision at once.
+# Number of VMs to which the leader pushes a new revision concurrently.
 PUSH_FANOUT = 8
 
 # Number of VMs of its own domain to which a VM pushes a revision that it fetched; gossip reaches
@@ -336,8 +336,8 @@
         log.info("config: revision %d is in force", revision)
         if self._cache is not None:
             self._save_to_cache()
-        # This may run within the Raft runner, which stops for good after an exception, so `notify`
-        # catches those of the callbacks.
+        # This may run within the Raft runner, which stops permanently after an exception, so
+        # `notify` catches those of the callbacks.
         notify(self._callbacks)
 
     def _save_to_cache(self) -> None:
--- a/bramleycrank/daemon/consensus_controller.py
+++ b/bramleycrank/daemon/consensus_controller.py
@@ -70,7 +70,7 @@
         self._metrics = metrics or NullMetrics()
         self.identity = identity
         self._directory = directory
-        self._host = LogHost(
+        self._log_host = LogHost(
             identity,
             self.address_of,
             rng,
@@ -95,13 +95,13 @@
         """Open the log and start the Raft node, if this VM may vote."""
         if self.identity.data_dir is None or not self.identity.vote:
             return
-        self._host.open()
+        self._log_host.open()
         self._floor_proposer.start()
 
     async def stop(self) -> None:
         """Stop the Raft node and close the log."""
         self._floor_proposer.stop()
-        self._host.stop()
+        self._log_host.stop()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Call back after each change of the applied state, the role or the known leader."""
@@ -112,12 +112,12 @@
     @property
     def node_id(self) -> str:
         """Id of the Raft node of this VM; empty if the VM may not vote."""
-        return self._host.node_id
+        return self._log_host.node_id
 
     @property
     def _runner(self) -> RaftRunner | None:
         """Runner of the Raft node, on a VM that may vote."""
-        return self._host.runner
+        return self._log_host.runner
 
     @property
     def state(self) -> ReplicatedState | None:
@@ -339,7 +339,7 @@
         self._role_changed.set()
         failure = self._runner.failure if self._runner else None
         if isinstance(failure, StorageError | OSError):
-            self._host.reopen()
+            self._log_host.reopen()
         self._notify()
 
     async def wait_role_change(self, timeout_s: float) -> None:
@@ -349,7 +349,7 @@
         self._role_changed.clear()
 
     def _notify(self) -> None:
-        # The runner calls this between actions and would stop the Raft node for good after an
+        # The runner calls this between actions and would stop the Raft node permanently after an
         # exception, so `notify` catches those of the callbacks.
         notify(self._callbacks)
 
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -40,7 +40,7 @@
 
 
 MAX_LOGGED_FAILURES = 8
-"""Most failed sub-requests that are listed in the log line of a request."""
+"""Most failed sub-requests listed in the log line of a request, which must stay a short line."""
 
 
 class EntryController:
@@ -56,7 +56,7 @@
         Source of the routes.
     targets : Targets
         Source of the targets.
-    extra : RetryBudgetConfig
+    retry_budget : RetryBudgetConfig
         Limits of the retry budget.
     metrics : Metrics
         Receives the metrics.
@@ -78,7 +78,7 @@
         dialect: EntryDialect,
         routes: Routes,
         targets: Targets,
-        extra: RetryBudgetConfig,
+        retry_budget: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
         is_isolated: Callable[[], bool] = lambda: False,
@@ -97,7 +97,7 @@
         self._requests = RequestLog(log, self._clock)
         self._index: RouteIndex | None = None
         self._targets = EntryTargets(
-            domain, targets, extra, metrics, rng, self._resume_waiting, memory_bytes
+            domain, targets, retry_budget, metrics, rng, self._resume_waiting, memory_bytes
         )
         self._calls: set[Call] = set()
         self._waiting: dict[str, list[Call]] = defaultdict(list)
@@ -297,12 +297,12 @@
             self._record_failure(call, sub, kind)
             self._execute(call, execution.on_failure(sub.sub_id, SubFailure(kind), now))
             return True
-        answer = TargetReply(
+        reply = TargetReply(
             response.status, response.headers, response.body, meta.receipt, meta.load
         )
-        if not answer.ok:
-            self._record_failure(call, sub, f"status {answer.status}")
-        self._execute(call, execution.on_answer(sub.sub_id, answer, now))
+        if not reply.ok:
+            self._record_failure(call, sub, f"status {reply.status}")
+        self._execute(call, execution.on_answer(sub.sub_id, reply, now))
         return True
 
     def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
--- a/bramleycrank/daemon/entry_targets.py
+++ b/bramleycrank/daemon/entry_targets.py
@@ -55,7 +55,7 @@
         Failure domain of this VM.
     source : Targets
         Source of the targets.
-    extra : RetryBudgetConfig
+    retry_budget : RetryBudgetConfig
         Limits of the retry budget.
     metrics : Metrics
         Receives the metrics.
@@ -71,7 +71,7 @@
         self,
         domain: str,
         source: Targets,
-        extra: RetryBudgetConfig,
+        retry_budget: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
         on_capacity: Callable[[str], None],
@@ -93,7 +93,7 @@
             self._clock,
         )
         self.policy = TargetPolicy(
-            domain, extra, self.pool.has_capacity, lambda: self._vm_count, rng
+            domain, retry_budget, self.pool.has_capacity, lambda: self._vm_count, rng
         )
         self._intake: IntakeBudget[TargetConnection] = IntakeBudget.from_memory(memory_bytes)
         self._services_of: dict[str, str] = {}
--- a/bramleycrank/daemon/query_controller.py
+++ b/bramleycrank/daemon/query_controller.py
@@ -47,7 +47,7 @@
 """Delay that batches target changes; the refresh shows them to hedges and retries."""
 
 DRAIN_RETRY_MS = 100
-"""Retry-after of refusals while this VM drains; other VMs can serve at once."""
+"""Retry-after of refusals while this VM drains; other VMs can serve the caller immediately."""
 
 
 def _wall_ms() -> int:
--- a/bramleycrank/membership/anti_entropy.py
+++ b/bramleycrank/membership/anti_entropy.py
@@ -18,9 +18,9 @@
     GONE_STATES,
     Key,
     bucket_of,
-    combine,
     digest,
     digest_key,
+    hash_contribution,
 )
 from bramleycrank.membership.types import Action, SendSync
 from bramleycrank.membership.view import GroupView
@@ -235,14 +235,14 @@
 def _bucket_hashes(entries: Entries) -> list[int]:
     hashes = [0] * BUCKETS
     for record_id, (_, key) in entries.items():
-        hashes[bucket_of(record_id)] ^= combine(key)
+        hashes[bucket_of(record_id)] ^= hash_contribution(key)
     return hashes
 
 
 def _total_hash(entries: Entries) -> int:
     total_hash = 0
     for _, key in entries.values():
-        total_hash ^= combine(key)
+        total_hash ^= hash_contribution(key)
     return total_hash
 
 
--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -62,7 +62,7 @@
             ``vm/ID`` or ``target/ID``.
         key : tuple of int
             Order key of the record.
-        size : int
+        size_bytes : int
             Size of the serialized record, in bytes.
         urgent : bool, optional
             Whether the change is sent before others.
--- a/bramleycrank/membership/records.py
+++ b/bramleycrank/membership/records.py
@@ -110,7 +110,7 @@
     return item.incarnation, rank, item.sequence, item.content_hash
 
 
-def combine(key: Key) -> int:
+def hash_contribution(key: Key) -> int:
     """Return the contribution of a record to the hash of its bucket; contributions are XORed.
 
     The content hash covers the id and all other parts of the key.
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -52,7 +52,7 @@
             Current time in seconds.
         peer_id : str, optional
             The receiver. If its state is not ALIVE here, the message includes its record, so that
-            it can refute the state at once.
+            it can refute the state immediately.
         """
         message = Gossip(sender=self.vms.local)
         peer = self.vms.get(peer_id) if peer_id else None
--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -206,8 +206,8 @@
     def _adjust_limit(self, service: str, latency_s: float, overloaded: bool, now: float) -> None:
         """Adjust the limit of the VM, or that of the only overloaded service.
 
-        Stalled targets of one service say nothing about the other services. Without a limit per
-        service, one overloaded service lowered the limit of all.
+        Stalled targets of one service do not mean that the others are overloaded. Without a limit
+        per service, one overloaded service lowered the limit of all.
         """
         own = self._limit_by_service.get(service)
         if own is not None:
--- a/bramleycrank/query/execution.py
+++ b/bramleycrank/query/execution.py
@@ -275,8 +275,8 @@
         """Retry the shard, restart the query, or mark the shard as missing.
 
         A retry is `free` of the retry budget if the failed sub-request caused no work at a target,
-        since the budget bounds the load on targets. Without this exception the loss of many
-        replicas at once used up the budget, and shards were missing although other replicas were
+        since the budget bounds the load on targets. Without this exception the simultaneous loss of
+        many replicas used up the budget, and shards were missing although other replicas were
         idle.
         """
         shard, out = sub.shard, []
--- a/bramleycrank/query/holds.py
+++ b/bramleycrank/query/holds.py
@@ -9,7 +9,7 @@
 log = logging.getLogger(__name__)
 
 MAX_HOLD_S = 3600.0
-"""Longest hold in seconds; without it a wrong value could make a shard unavailable for good."""
+"""Longest hold in seconds; without it a wrong value could make a shard unavailable permanently."""
 
 HOLD_JITTER_SHARE = 0.1
 """Largest share by which a hold is extended, so that VMs do not all resume at the same time."""
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -124,8 +124,8 @@
     ) -> None:
         """Count a cancelled sub-request; a superseded one counts as slow.
 
-        Its elapsed time is recorded as a lower bound of its latency. Without it, hedges would cut
-        off the tail of the estimate, and the hedge delay would shrink with every hedge.
+        Its elapsed time is recorded as a lower bound of its latency. Without it, hedging
+        would remove the slowest replies from the estimate, and each hedge would lower the delay.
         """
         if elapsed_s <= 0.0:
             self._table.on_cancelled(target_id, now)
--- a/bramleycrank/query/subrequests.py
+++ b/bramleycrank/query/subrequests.py
@@ -43,7 +43,7 @@
     """Return the target for a retry.
 
     A target whose connection was lost may be healthy and is tried again, but only after all others.
-    A network partition breaks the connections to all targets on its other side at once.
+    A network partition breaks the connections to all targets on its other side at the same time.
 
     Parameters
     ----------
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -203,7 +203,7 @@
         self.base_latency_s += (latency_s - self.base_latency_s) * (
             _BASE_RISE_WEIGHT if rising else _BASE_FALL_WEIGHT
         )
-        # The limit grows only if it is used, since an unused limit says nothing about capacity, and
+        # The limit grows only if it is used, since an unused limit does not show the capacity, and
         # only on a fast reply, since a slow one may have been queued at the target. It does not
         # exceed the slots: more would queue there while replicas in other domains have free slots.
         if (
--- a/bramleycrank/scatter/retry_after.py
+++ b/bramleycrank/scatter/retry_after.py
@@ -18,7 +18,7 @@
 """Minimum retry-after for a busy target, in seconds; some of its requests must end first."""
 
 STARTUP_S = 0.6
-"""Time in which a VM gets its routes when all VMs start at once, in seconds."""
+"""Time in which a VM gets its routes when all VMs start at the same time, in seconds."""
 
 MIN_STARTUP_RETRY_AFTER_S = 0.1
 """Minimum retry-after of a VM that is starting, in seconds."""
--- a/bramleycrank/state/follower.py
+++ b/bramleycrank/state/follower.py
@@ -14,7 +14,7 @@
 from bramleycrank.state.peer_hints import PeerHints
 from bramleycrank.state.types import ConfigInForce, FetchConfig, FollowerAction, FollowerConfig
 
-# One fetch from a peer and one from the leader may be open at once.
+# One fetch from a peer and one from the leader may be open at the same time.
 _MAX_FETCHES = 2
 
 # Shares of the lease after which a VM without a newer confirmation asks a peer of its own domain,
@@ -27,7 +27,7 @@
 
 # Upper bound of the random time that a VM waits for a peer of its own domain to have a revision
 # before it fetches the revision from another domain. In a domain of many VMs one of them draws a
-# time near 0 and fetches at once.
+# time near 0 and fetches immediately.
 REMOTE_FETCH_WAIT_S = 0.5
 
 
@@ -119,7 +119,7 @@
             Time of receipt in seconds.
         sent_at : float, optional
             Time at which this VM sent the request that the status answers. Without it the network
-            delay is unknown, and the status only serves to choose peers to ask.
+            delay is unknown, and the status is only used to choose peers.
         """
         self._hints.on_status(peer_address, status, now)
         if sent_at is not None:
--- a/tests/test_connections_monitor.py
+++ b/tests/test_connections_monitor.py
@@ -1,7 +1,7 @@
 """State machine over the connection monitors of one VM, and tests of the budgets.
 
 The simulated targets answer, are slow, are frozen or refuse connections, and each connection may
-become silent for good. The monitors must detect each of these states within a bound.
+become silent permanently. The monitors must detect each of these states within a bound.
 """
 
 import heapq
@@ -239,7 +239,7 @@
 @given(st.integers(0, 2**32), st.integers(1, 2))
 @settings(max_examples=30)
 def test_many_silent_connections_cause_no_reconnect_storm(seed, share):
-    """Guards against a VM that reconnects to all targets at once."""
+    """Guards against a VM that reconnects to all targets at the same time."""
     sim = Simulation(seed, 240, share)
     sim.run_for(1.0)
     silent = sim.targets[::3]
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -203,7 +203,7 @@
 
 
 def test_failing_subscriber_does_not_stop_other_subscribers_or_ticks():
-    # The exception reached the Raft runner, which then stopped for good, or ended the ticks.
+    # The exception reached the Raft runner, which then stopped permanently, or ended the ticks.
     async def scenario(voter, controller):
         def fail():
             raise ValueError("subscriber")
--- a/tests/test_daemon_consensus_controller.py
+++ b/tests/test_daemon_consensus_controller.py
@@ -46,7 +46,7 @@
         controller = make_controller()
         state = SimpleNamespace(floor_proposal=floor_proposal)
         node = SimpleNamespace(membership=log_pb2.Membership(members=[log_pb2.Member()]))
-        controller._host.runner = SimpleNamespace(node=node, failure=None, state=state)
+        controller._log_host.runner = SimpleNamespace(node=node, failure=None, state=state)
         task = asyncio.ensure_future(controller._floor_proposer._run())
         async with asyncio.timeout(2):
             while len(calls) < 2 and not task.done():
@@ -65,7 +65,7 @@
 
     controller = make_controller()
     membership = log_pb2.Membership(cluster_id="c")
-    controller._host.runner = SimpleNamespace(
+    controller._log_host.runner = SimpleNamespace(
         node=SimpleNamespace(membership=membership), failure=OSError(), bootstrap=bootstrap
     )
     with pytest.raises(StorageError):
@@ -78,7 +78,7 @@
     async def body():
         result = asyncio.get_running_loop().create_future()
         controller = make_controller()
-        controller._host.runner = SimpleNamespace(
+        controller._log_host.runner = SimpleNamespace(
             node=SimpleNamespace(role=Role.LEADER), failure=None, propose=lambda *_: result
         )
         first = asyncio.ensure_future(controller.propose_local("p", log_pb2.Command(), 0.05))
--- a/tests/test_daemon_log_recovery.py
+++ b/tests/test_daemon_log_recovery.py
@@ -100,7 +100,7 @@
         controller = await start(tmp_path / "data")
         await bootstrap(controller)
         await controller.propose_local("p1", put(1), 2.0)
-        segment = controller._host._store._segment
+        segment = controller._log_host._store._segment
         segment.close()
         segment._file = open("/dev/full", "ab")  # noqa: SIM115
         with pytest.raises(BramleycrankError):
@@ -117,7 +117,7 @@
     async def body() -> None:
         controller = await start(tmp_path / "data")
         await bootstrap(controller)
-        segment = controller._host._store._segment
+        segment = controller._log_host._store._segment
         assert segment._file.fileno() and not hasattr(segment._file, "raw"), "the file has a buffer"
         await controller.stop()
 
--- a/tests/test_query_admission.py
+++ b/tests/test_query_admission.py
@@ -198,7 +198,7 @@
 
 
 def test_a_service_that_was_slow_is_probed() -> None:
-    """Guards against refusing a service for good because of a short period of high latency."""
+    """Guards against refusing a service permanently because of a short period of high latency."""
     admission = Admission(AdaptiveLimit(10, 10), 10)
     for _ in range(20):
         ticket = Ticket(0, "archivio", "normal", 1e9)
--- a/tests/test_query_execution.py
+++ b/tests/test_query_execution.py
@@ -354,7 +354,7 @@
         self._check_in_flight()
 
     def _check_in_flight(self) -> None:
-        """Check that no in-flight count leaks, which would block a healthy target for good."""
+        """Check that no in-flight count leaks, which would block a healthy target permanently."""
         sent = [item for oracle in self.oracles for item in oracle.sent.values()]
         open_now = Counter(item.target_id for item in sent if item.open)
         for name, state in self.table.dump(self.now).get(SERVICE, {}).items():
--- a/tests/test_query_retry.py
+++ b/tests/test_query_retry.py
@@ -50,7 +50,7 @@
     """Guards against a missing shard while an untried replica is healthy.
 
     A domain is partitioned while its own targets warm up. The first sub-request and its hedge go
-    to other domains, and the partition breaks both connections at once.
+    to other domains, and the partition breaks both connections at the same time.
     """
     execution, actions = begin("abc")
     [first] = dispatched(actions)
--- a/tests/test_state_routes.py
+++ b/tests/test_state_routes.py
@@ -34,7 +34,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from([b"x", b"y"])), max_size=30))
 def test_the_highest_version_wins_and_identifies_one_table(sent_tables):
-    """Guards against operators that send equal versions at once or resend old versions."""
+    """Guards against operators that send equal versions concurrently or resend old versions."""
     state, held = ReplicatedState(), (0, b"")
     for number, (version, document) in enumerate(sent_tables, 1):
         result = put_table(state, version, document, number)
