--- a/bramleycrank/query/budgets.py
+++ b/bramleycrank/query/budgets.py
@@ -44,7 +44,7 @@
         self.taken = 0
         self.denied = 0
 
-    def earn(self, scale: float) -> None:
+    def add_request(self, scale: float) -> None:
         """Add the tokens that one first sub-request earns."""
         tokens = self.tokens + self.ratio * scale
         self.tokens = tokens if tokens < self.burst else self.burst
--- a/bramleycrank/query/policy.py
+++ b/bramleycrank/query/policy.py
@@ -96,8 +96,8 @@
         if first:
             stats = self.stats(service)
             scale = stats.shed.scale
-            stats.hedges.earn(scale)
-            stats.retries.earn(scale)
+            stats.hedges.add_request(scale)
+            stats.retries.add_request(scale)
         self._table.on_sent(target_id, now)
 
     def on_reply(
