--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -266,7 +266,7 @@
         elif record.target_id not in self._leases:
             self._leases[record.target_id] = _Lease(record.incarnation, 0, now + self._cfg.lease_s)
 
-    def on_vm(self, record: VmRecord, now: float) -> list[Action]:
+    def on_vm_changed(self, record: VmRecord, now: float) -> list[Action]:
         """Handle a change of a VM, which may be the home VM of targets."""
         changed = self._table.set_home(record.vm_id, record.state in LIVE_STATES, now)
         return [TargetChanged(rec) for rec in changed]
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -119,7 +119,7 @@
             return []
         if spread:
             self._enqueue(record)
-        return [VmChanged(record), *self.registry.on_vm(record, now)]
+        return [VmChanged(record), *self.registry.on_vm_changed(record, now)]
 
     def _refute(self, received: VmRecord, now: float) -> list[Action]:
         """Override a received record of this VM that is newer than the own one.
