--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -143,9 +143,9 @@
         self._enqueue(record)
         return [VmChanged(record)]
 
-    def forget_gone(self, now: float) -> None:
+    def remove_gone_vms(self, now: float) -> None:
         """Remove dead and left VMs after their retention time."""
-        for vm_id in self.vms.forget_gone(now):
+        for vm_id in self.vms.remove_gone_vms(now):
             self.queue.discard(f"vm/{vm_id}")
 
     def is_live(self, vm_id: str) -> bool:
