--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -290,7 +290,7 @@
         """
         target_id = request.target_id
         self._execute(self.registry.leave(request, self._clock()))
-        if self.core.is_spreading(target_id):
+        if self.core.has_unacknowledged_push(target_id):
             acknowledged = self._leaves_in_progress.setdefault(target_id, asyncio.Event())
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(acknowledged.wait(), LEAVE_WAIT_S)
@@ -376,7 +376,9 @@
             self._execute(self.core.on_probe_failed(action.probe_id, self._clock()))
         else:
             self._execute(self.core.on_probe_reply(action.probe_id, reply, self._clock()))
-        for target_id in [i for i in self._leaves_in_progress if not self.core.is_spreading(i)]:
+        for target_id in [
+            i for i in self._leaves_in_progress if not self.core.has_unacknowledged_push(i)
+        ]:
             self._leaves_in_progress.pop(target_id).set()
 
     async def _relay(self, action: RelayProbe) -> bool:
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -105,7 +105,7 @@
             out += self._send_if_due(outbox, now)
         return out
 
-    def is_spreading(self, target_id: str) -> bool:
+    def has_unacknowledged_push(self, target_id: str) -> bool:
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
         return self._unacknowledged[target_id] > 0
 
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -210,9 +210,9 @@
         """Return the messages that carry out a `PushRecords` action."""
         return self._pusher.push(action, now)
 
-    def is_spreading(self, target_id: str) -> bool:
+    def has_unacknowledged_push(self, target_id: str) -> bool:
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
-        return self._pusher.is_spreading(target_id)
+        return self._pusher.has_unacknowledged_push(target_id)
 
     def sample(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
