--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -100,7 +100,7 @@
     return [*local_peers, *(record for members in remote_peers for record in members)]
 
 
-def spread_sample(
+def sample_across_domains(
     local: VmRecord, peers: Iterable[VmRecord], count: int, rng: Random
 ) -> list[VmRecord]:
     """Return random VMs, spread over the domains as evenly as the domain sizes allow."""
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from bramleycrank.membership.peer_selection import direct_receivers, spread_sample
+from bramleycrank.membership.peer_selection import direct_receivers, sample_across_domains
 from bramleycrank.membership.records import Key, address_of, target_key
 from bramleycrank.membership.types import PushRecords, SendProbe
 from bramleycrank.membership.view import GroupView
@@ -84,7 +84,7 @@
         if action.fanout:
             local_peers = self._view.vms.selection().near
             peers = local_peers if action.own_domain_only else peers
-            peers = spread_sample(local, peers, action.fanout, self._rng)
+            peers = sample_across_domains(local, peers, action.fanout, self._rng)
         else:
             peers = direct_receivers(local, peers, self._rng)
         out = []
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from bramleycrank.membership.anti_entropy import AntiEntropy
-from bramleycrank.membership.peer_selection import spread_sample
+from bramleycrank.membership.peer_selection import sample_across_domains
 from bramleycrank.membership.prober import Prober
 from bramleycrank.membership.pusher import Pusher
 from bramleycrank.membership.records import address_of
@@ -218,7 +218,10 @@
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
         peers = vms.selection().near if own_domain_only else vms.peers()
-        return [address_of(record) for record in spread_sample(self.local, peers, count, self._rng)]
+        return [
+            address_of(record)
+            for record in sample_across_domains(self.local, peers, count, self._rng)
+        ]
 
     def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; False for an unknown VM."""
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -17,7 +17,7 @@
     CROSS_DOMAIN_SENDERS,
     PARTNERS_PER_DOMAIN,
     PeerSelection,
-    spread_sample,
+    sample_across_domains,
 )
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
@@ -173,7 +173,7 @@
 
 def test_a_sample_is_spread_over_the_domains():
     vms = [*make_records(30, "abc"), *make_records(1, "de")]
-    sample = spread_sample(vms[0], vms[1:], 10, Random(1))
+    sample = sample_across_domains(vms[0], vms[1:], 10, Random(1))
     assert len({rec.vm_id for rec in sample}) == 10
     counts = Counter(rec.domain for rec in sample)
     assert counts["d"] == counts["e"] == 1 and min(counts[d] for d in "abc") >= 2
