--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -126,7 +126,7 @@
             jitter = self._rng.uniform(0.9, 1.1)
             self._next_sync_at = now + self._cfg.sync_period_s * jitter
             peers = [address_of(rec) for rec in self._view.vms.selection().members]
-            addresses = self._rng.sample(peers, min(count, len(peers)))
+            addresses = self._rng.random_addresses(peers, min(count, len(peers)))
         else:
             self._next_sync_at = now + min(
                 JOIN_RETRY_S, self._cfg.probe_period_s / 2, self._cfg.sync_period_s / 2
@@ -214,7 +214,7 @@
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
         return self._pusher.has_unacknowledged_push(target_id)
 
-    def sample(self, count: int, *, own_domain_only: bool) -> list[str]:
+    def random_addresses(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
         peers = vms.selection().near if own_domain_only else vms.peers()
