--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -55,11 +55,11 @@
 
     def spread_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs, spread over the failure domains."""
-        return self._membership.core.sample(count, own_domain_only=False) or self._seeds
+        return self._membership.core.random_addresses(count, own_domain_only=False) or self._seeds
 
     def local_sample(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs in the own failure domain."""
-        return self._membership.core.sample(count, own_domain_only=True)
+        return self._membership.core.random_addresses(count, own_domain_only=True)
 
     def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; an unknown VM counts as local."""
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -126,7 +126,7 @@
             jitter = self._rng.uniform(0.9, 1.1)
             self._next_sync_at = now + self._cfg.sync_period_s * jitter
             peers = [address_of(rec) for rec in self._view.vms.selection().members]
-            addresses = self._rng.random_addresses(peers, min(count, len(peers)))
+            addresses = self._rng.sample(peers, min(count, len(peers)))
         else:
             self._next_sync_at = now + min(
                 JOIN_RETRY_S, self._cfg.probe_period_s / 2, self._cfg.sync_period_s / 2
