--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -56,7 +56,7 @@
 class Peers(Protocol):
     """The other VMs, as the controller needs them."""
 
-    def spread_sample(self, count: int) -> Sequence[str]:
+    def sample_across_domains(self, count: int) -> Sequence[str]:
         """Return the addresses of up to `count` VMs, spread over the failure domains."""
 
     def local_sample(self, count: int) -> Sequence[str]:
@@ -282,7 +282,7 @@
             previous, self._last_seen_state = self._last_seen_state, seen
             self._adopt_local_state()
             if confirmed and seen != previous:
-                self._push(self._peers.spread_sample(PUSH_FANOUT))
+                self._push(self._peers.sample_across_domains(PUSH_FANOUT))
 
     def _adopt_local_state(self) -> None:
         state = self._consensus.state
--- a/bramleycrank/daemon/directory.py
+++ b/bramleycrank/daemon/directory.py
@@ -53,7 +53,7 @@
         ]
         return known or self._seeds
 
-    def spread_sample(self, count: int) -> Sequence[str]:
+    def sample_across_domains(self, count: int) -> Sequence[str]:
         """Return the addresses of some VMs, spread over the failure domains."""
         return self._membership.core.random_addresses(count, own_domain_only=False) or self._seeds
 
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -71,10 +71,10 @@
     def addresses(self):
         return self._peers
 
-    def spread_sample(self, count):
+    def sample_across_domains(self, count):
         return self._peers[:count]
 
-    local_sample = spread_sample
+    local_sample = sample_across_domains
 
     def is_remote(self, address):
         return False
