--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -87,7 +87,7 @@
         self.order = itertools.count()
         self.loss = self.duplicates = 0.0
         self.latency_s = 0.003
-        self.cut = frozenset()
+        self.partitioned = frozenset()
         self.calm_since = 0.0
         self.sent_reports = []
         names = [f"vm-{i}" for i in range(vm_count)]
@@ -122,11 +122,11 @@
     @property
     def calm(self):
         """Whether no message is lost or slow and no running VM is paused."""
-        quiet = not self.loss and not self.cut and self.latency_s < 0.1
+        quiet = not self.loss and not self.partitioned and self.latency_s < 0.1
         return quiet and all(vm.paused_until <= self.now for vm in self.vms)
 
     def is_delivered(self, source, target):
-        if (source.vm_id in self.cut) != (target.vm_id in self.cut):
+        if (source.vm_id in self.partitioned) != (target.vm_id in self.partitioned):
             return False
         return target.core is not None and self.rng.random() >= self.loss
 
@@ -360,7 +360,7 @@
     def settle(self):
         self.loss = self.duplicates = 0.0
         self.latency_s = 0.003
-        self.cut = frozenset()
+        self.partitioned = frozenset()
         for vm in self.vms:
             vm.paused_until = min(vm.paused_until, self.now)
         if all(vm.core is None for vm in self.vms[:SEEDS]):
--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -112,12 +112,12 @@
 
 def test_a_partitioned_domain_is_detected_as_dead_and_rejoins():
     fleet = make_fleet(12)
-    fleet.cut = frozenset(vm.vm_id for vm in fleet.vms if vm.domain == "a")
+    fleet.partitioned = frozenset(vm.vm_id for vm in fleet.vms if vm.domain == "a")
     fleet.run_for(20.0)
     for vm in fleet.vms:
         domains = {rec.domain for rec in vm.core.live_vms(fleet.now)}
         assert domains == ({"a"} if vm.domain == "a" else {"b", "c"})
-    fleet.cut = frozenset()
+    fleet.partitioned = frozenset()
     fleet.run_for(30.0)
     assert all(len(vm.core.live_vms(fleet.now)) == 36 for vm in fleet.vms)
 
--- a/tests/test_membership_bounds.py
+++ b/tests/test_membership_bounds.py
@@ -68,12 +68,12 @@
     """Guards against a healed partition that is detected only after seconds."""
     fleet = Fleet(seed, vm_count=6)
     fleet.run_for(10.0)
-    fleet.cut = frozenset(f"vm-{5 - i}" for i in range(size))
+    fleet.partitioned = frozenset(f"vm-{5 - i}" for i in range(size))
     fleet.targets[0].home = 0
     fleet.run_for(duration / 2)
     fleet.leave(fleet.targets[0])
     fleet.run_for(duration / 2)
-    fleet.cut = frozenset()
+    fleet.partitioned = frozenset()
     fleet.run_for(LEAVE_BOUND_S)
     for vm in fleet.vms:
         assert "t-0" not in usable_on(vm, fleet.now), vm.vm_id
@@ -85,13 +85,13 @@
     """Guards against a VM that misses a push and its retries and waits for the next exchange."""
     fleet = Fleet(seed)
     fleet.run_for(10.0)
-    fleet.cut = frozenset({"vm-3"})
+    fleet.partitioned = frozenset({"vm-3"})
     fleet.targets[0].home = 0
     fleet.leave(fleet.targets[0])
     fleet.run_for(duration)
     for vm in fleet.vms:
         vm.registry.queue.discard("target/t-0")  # its transmissions by gossip are used up
-    fleet.cut = frozenset()
+    fleet.partitioned = frozenset()
     fleet.run_for(LEAVE_BOUND_S)
     assert "t-0" not in usable_on(fleet.vms[3], fleet.now)
 
