--- a/tests/test_query_execution.py
+++ b/tests/test_query_execution.py
@@ -78,7 +78,7 @@
         self.restarts = 0
         self.end: object = None
 
-    def perform(self, actions: list, ending: MissingReason | None = None) -> None:
+    def perform(self, actions: list, missing_reason: MissingReason | None = None) -> None:
         for action in actions:
             assert self.end is None, "action after the end of the query"
             if isinstance(action, Dispatch):
@@ -89,7 +89,7 @@
                 sent.open = False
             else:
                 self.end = action
-                self._check_end(action, ending)
+                self._check_end(action, missing_reason)
 
     def _on_dispatch(self, action: Dispatch) -> None:
         request = action.request
@@ -114,19 +114,19 @@
         assert action.target_id not in {s.target_id for s in siblings}
         self.sent[request.sub_id] = Sent(action.target_id, request)
 
-    def _check_end(self, end: object, ending: MissingReason | None) -> None:
+    def _check_end(self, end: object, missing_reason: MissingReason | None) -> None:
         assert not any(item.open for item in self.sent.values()), (
             "sub-requests are open after the end"
         )
         if isinstance(end, Finish):
-            self._check_answer(end.answer, ending)
+            self._check_answer(end.answer, missing_reason)
             return
         proved_not_run = all(item.proved_not_run for item in self.sent.values())
         assert (end.error.outcome is Outcome.NOT_RUN) == proved_not_run
         if proved_not_run and not isinstance(end.error, Cancelled):
             assert end.error.retry_after_ms > 0, "the error has no retry-after"
 
-    def _check_answer(self, answer, ending: MissingReason | None) -> None:
+    def _check_answer(self, answer, missing_reason: MissingReason | None) -> None:
         req, coverage = self.execution.req, answer.coverage
         scatter = req.kind in ("search", "quick_match")
         assert answer.snapshot == self.snapshot
@@ -142,7 +142,7 @@
                 assert sum(len(reply.hits) for reply in self.accepted.values()) >= req.limit
             else:
                 expected = self.reasons.get(item.shard, MissingReason.NO_REPLICA)
-                assert item.reason in (expected, ending)
+                assert item.reason in (expected, missing_reason)
         assert answer.attempts.sent == len(self.sent)
         assert answer.attempts.restarts == self.restarts
         replies = self.accepted.values()
@@ -303,8 +303,8 @@
         for oracle in self.oracles:
             if oracle.end is None:
                 late = self.now >= oracle.execution.deadline
-                ending = MissingReason.TIMEOUT if late else None
-                oracle.perform(oracle.execution.tick(self.now), ending)
+                missing_reason = MissingReason.TIMEOUT if late else None
+                oracle.perform(oracle.execution.tick(self.now), missing_reason)
                 assert (oracle.end is not None) == late
 
     def cancel(self, pick) -> None:
