--- a/bramleycrank/membership/anti_entropy.py
+++ b/bramleycrank/membership/anti_entropy.py
@@ -149,7 +149,7 @@
         if exchange is None:
             return []
         # Until its first exchange completes, this VM receives records that others already have.
-        actions = self._view.merge(reply.gossip, now, spread=self.completed > 0)
+        actions = self._view.merge(reply.gossip, now, queue_for_gossip=self.completed > 0)
         if exchange.remaining is None:
             exchange.remaining = [] if reply.equal else self._differing_buckets(reply, now)
         self._choose_batch(exchange, reply, progress=bool(actions), now=now)
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -205,7 +205,7 @@
         return [*self._store(leaving, now), push]
 
     def merge(
-        self, records: Iterable[TargetRecord], now: float, *, spread: bool = True
+        self, records: Iterable[TargetRecord], now: float, *, queue_for_gossip: bool = True
     ) -> list[Action]:
         """Store the records of another VM that are newer than the own ones.
 
@@ -228,7 +228,7 @@
         to_forward = []
         for record in records:
             was_usable = self._table.is_usable(record.target_id)
-            changes = self._store(record, now, spread=spread)
+            changes = self._store(record, now, queue_for_gossip=queue_for_gossip)
             actions += changes
             if changes and was_usable and record.state == TARGET_STATE_LEAVING:
                 to_forward.append(record)
@@ -238,7 +238,9 @@
             )
         return actions
 
-    def _store(self, record: TargetRecord, now: float, *, spread: bool = True) -> list[Action]:
+    def _store(
+        self, record: TargetRecord, now: float, *, queue_for_gossip: bool = True
+    ) -> list[Action]:
         if not self._table.put(record, now):
             if self._table.key(record.target_id) == target_key(record):
                 self.queue.count_received_copy(f"target/{record.target_id}")
@@ -246,7 +248,7 @@
         target_id = record.target_id
         stored = self._table.get(target_id)
         self._adjust_lease(stored, now)
-        if spread:
+        if queue_for_gossip:
             self.queue.add(
                 f"target/{target_id}",
                 self._table.key(target_id),
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -88,7 +88,7 @@
             return self.vms.get(name)
         return self.registry.outgoing(name, now)
 
-    def merge(self, message: Gossip, now: float, *, spread: bool = True) -> list[Action]:
+    def merge(self, message: Gossip, now: float, *, queue_for_gossip: bool = True) -> list[Action]:
         """Store the records of a message that are newer.
 
         VM records are merged first, since the usability of a target depends on its home VM.
@@ -108,16 +108,21 @@
         for record in message.vms:
             if self.vms.get(record.vm_id) == record:
                 self.queue.count_received_copy(f"vm/{record.vm_id}")
-            actions += self.merge_vm(record, now, spread=spread)
-        return [*actions, *self.registry.merge(message.targets, now, spread=spread)]
-
-    def merge_vm(self, record: VmRecord, now: float, *, spread: bool = True) -> list[Action]:
+            actions += self.merge_vm(record, now, queue_for_gossip=queue_for_gossip)
+        return [
+            *actions,
+            *self.registry.merge(message.targets, now, queue_for_gossip=queue_for_gossip),
+        ]
+
+    def merge_vm(
+        self, record: VmRecord, now: float, *, queue_for_gossip: bool = True
+    ) -> list[Action]:
         """Store the record of a VM if it is newer; refute it if it describes this VM."""
         if record.vm_id == self.vms.local_id:
             return self._refute(record, now)
         if not record.vm_id or not self.vms.merge(record, now):
             return []
-        if spread:
+        if queue_for_gossip:
             self._enqueue(record)
         return [VmChanged(record), *self.registry.on_vm_changed(record, now)]
 
