--- a/bramleycrank/platform/node_file.py
+++ b/bramleycrank/platform/node_file.py
@@ -102,7 +102,7 @@
         readiness=_address(entries.get("BindAddrs.ReadinessAddr")),
         control=_address(entries.get("BindAddrs.Control")),
         metrics=Address(ip, METRICS_PORT),
-        retry_budget=RetryBudgetConfig(
+        extra=RetryBudgetConfig(
             ratio=float(entries.get("Bounds.RetryBudgetRatio") or 0.1),
             window_s=float(entries.get("Bounds.RetryWindowS") or 10),
             slack=float(entries.get("Bounds.RetrySlack") or 0),
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -95,7 +95,7 @@
     assert str(cfg.base.listen.grpc) == "10.1.0.39:7740"
     assert cfg.voting.seeds == ("10.1.0.42:7740", "10.2.0.35:7740")
     assert cfg.voting.bootstrap and cfg.base.storage is None
-    assert (cfg.retry_budget.ratio, cfg.retry_budget.window_s, cfg.retry_budget.slack) == (
+    assert (cfg.extra.ratio, cfg.extra.window_s, cfg.extra.slack) == (
         0.2,
         10.0,
         58.0,
