--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -76,7 +76,7 @@
         Listening address for operators and targets, on a VM that serves them.
     metrics : Address or None
         Listening address for requests of the metrics.
-    retry_budget : RetryBudgetConfig
+    extra : RetryBudgetConfig
         Options of the retry budget, which bounds extra sub-requests.
     link_bytes_per_s : float
         Bandwidth of the VM's link; 0 if unknown.
@@ -92,7 +92,7 @@
     readiness: Address | None = None
     control: Address | None = None
     metrics: Address | None = None
-    retry_budget: RetryBudgetConfig = attrs.field(factory=RetryBudgetConfig)
+    extra: RetryBudgetConfig = attrs.field(factory=RetryBudgetConfig)
     link_bytes_per_s: float = 0.0
     memory_bytes: int = 0
     voting: VotingConfig = attrs.field(factory=VotingConfig)
@@ -239,7 +239,7 @@
             self._adapter.dialect,
             parts.config,
             parts.membership,
-            self._cfg.retry_budget,
+            self._cfg.extra,
             self._metrics,
             rng,
             self._is_isolated,
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -215,7 +215,7 @@
             Received records.
         now : float
             Current time in seconds.
-        spread : bool, optional
+        queue_for_gossip : bool, optional
             Whether the stored records are gossiped by this VM.
 
         Returns
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -99,7 +99,7 @@
             The message.
         now : float
             Current time in seconds.
-        spread : bool, optional
+        queue_for_gossip : bool, optional
             Whether to gossip the records; other VMs already have those that a joining VM receives.
         """
         actions: list[Action] = []
--- a/tests/test_membership_fleet.py
+++ b/tests/test_membership_fleet.py
@@ -31,7 +31,7 @@
         fleet.mark_disturbed()
 
     @rule(members=st.sets(st.integers(0, 3), max_size=2))
-    def partitioned(self, members):
+    def partition(self, members):
         self.fleet.partitioned = frozenset(f"vm-{i}" for i in members)
         self.fleet.mark_disturbed()
 
@@ -60,14 +60,14 @@
         if target.running and target.left_at is None:
             self.fleet.leave(target)
 
-    @rule(index=st.integers(0, 2), partitioned=st.integers(0, 3), delay=st.floats(0.0, 30.0))
-    def leave_while_a_partitioned_vm_receives_late_reports(self, index, partitioned, delay):
+    @rule(index=st.integers(0, 2), partitioned_index=st.integers(0, 3), delay=st.floats(0.0, 30.0))
+    def leave_while_a_partitioned_vm_receives_late_reports(self, index, partitioned_index, delay):
         """Let a target leave on one side of a partition while the other gets its reports."""
         fleet = self.fleet
         target = fleet.targets[index]
         if not target.running or target.left_at is not None:
             return
-        self.partitioned({partitioned})
+        self.partition({partitioned_index})
         incarnation_key = (target.target_id, target.incarnation)
         reports = [
             r
@@ -76,16 +76,16 @@
         ]
         if not reports:
             return
-        target.home = (partitioned + 1) % len(fleet.vms)
+        target.home = (partitioned_index + 1) % len(fleet.vms)
         fleet.leave(target)
         for sequence in range(1, 4):
             late = target_pb2.AnnounceRequest()
             late.CopyFrom(reports[-1])
             late.record.sequence += sequence
             late.record.port = 9000 + sequence
-            fleet.deliver_report(fleet.vms[partitioned], late)
+            fleet.deliver_report(fleet.vms[partitioned_index], late)
         fleet.run_for(delay)
-        self.partitioned(set())
+        self.partition(set())
         fleet.run_for(LEAVE_BOUND_S + TICK_S)
 
     @rule(index=st.integers(0, 2))
