--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -95,7 +95,7 @@
             Whether the receiver is in another failure domain.
         """
         limit = max_transmissions(
-            len(selection.members if selection.is_complete else selection.near) + 1
+            len(selection.members if selection.is_complete else selection.local_peers) + 1
         )
         is_cross_domain = to_other_domain and not selection.is_complete
         selected: list[str] = []
--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -47,7 +47,7 @@
         Whether all VMs are included.
     """
 
-    near: tuple[VmRecord, ...]
+    local_peers: tuple[VmRecord, ...]
     far: tuple[VmRecord, ...]
     remote_domain_count: int
     is_complete: bool
@@ -69,12 +69,12 @@
     @property
     def members(self) -> tuple[VmRecord, ...]:
         """All members, those of the own domain first."""
-        return self.near + self.far
+        return self.local_peers + self.far
 
     @property
     def cross_domain_sender_share(self) -> float:
         """Probability that this VM sends a change to other domains."""
-        return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.near) + 1))
+        return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.local_peers) + 1))
 
 
 def split_by_domain(
--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -108,7 +108,7 @@
         self._is_remote_turn = not self._is_remote_turn
         if self._is_remote_turn:
             return self._pop_live_member(self._remote_order, selection.far)
-        return self._pop_live_member(self._order, selection.near) or self._pop_live_member(
+        return self._pop_live_member(self._order, selection.local_peers) or self._pop_live_member(
             self._remote_order, selection.far
         )
 
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -82,7 +82,7 @@
         if len(self._outboxes) > 2 * len(peers) + SPARE_OUTBOXES:
             self._remove_gone_outboxes()
         if action.fanout:
-            local_peers = self._view.vms.selection().near
+            local_peers = self._view.vms.selection().local_peers
             peers = local_peers if action.own_domain_only else peers
             peers = sample_across_domains(local, peers, action.fanout, self._rng)
         else:
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -217,7 +217,7 @@
     def random_addresses(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
-        peers = vms.selection().near if own_domain_only else vms.peers()
+        peers = vms.selection().local_peers if own_domain_only else vms.peers()
         return [
             address_of(record)
             for record in sample_across_domains(self.local, peers, count, self._rng)
