--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -48,7 +48,7 @@
     """
 
     local_peers: tuple[VmRecord, ...]
-    far: tuple[VmRecord, ...]
+    remote_peers: tuple[VmRecord, ...]
     remote_domain_count: int
     is_complete: bool
 
@@ -69,7 +69,7 @@
     @property
     def members(self) -> tuple[VmRecord, ...]:
         """All members, those of the own domain first."""
-        return self.local_peers + self.far
+        return self.local_peers + self.remote_peers
 
     @property
     def cross_domain_sender_share(self) -> float:
--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -103,13 +103,13 @@
         periods.
         """
         selection = self._view.vms.selection()
-        if selection.is_complete or not selection.far:
+        if selection.is_complete or not selection.remote_peers:
             return self._pop_live_member(self._order, selection.members)
         self._is_remote_turn = not self._is_remote_turn
         if self._is_remote_turn:
-            return self._pop_live_member(self._remote_order, selection.far)
+            return self._pop_live_member(self._remote_order, selection.remote_peers)
         return self._pop_live_member(self._order, selection.local_peers) or self._pop_live_member(
-            self._remote_order, selection.far
+            self._remote_order, selection.remote_peers
         )
 
     def _pop_live_member(self, order: list[str], members: tuple[VmRecord, ...]) -> VmRecord | None:
