--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -42,7 +42,7 @@
 
     incarnation: int
     sequence: int  # highest one in a report of the target
-    until: float
+    expires_at: float
 
 
 class TargetRegistry:
@@ -283,10 +283,10 @@
         self._last_tick = now
         if pause_s > self._cfg.lease_s / 2:
             for lease in self._leases.values():
-                lease.until += pause_s
+                lease.expires_at += pause_s
         actions: list[Action] = []
         for target_id in [
-            expired_id for expired_id, lease in self._leases.items() if lease.until <= now
+            expired_id for expired_id, lease in self._leases.items() if lease.expires_at <= now
         ]:
             del self._leases[target_id]
             known = self._table.get(target_id)
@@ -355,7 +355,8 @@
         return {
             "targets": self._table.dump(now),
             "leases": {
-                target_id: round(lease.until - now, 3) for target_id, lease in self._leases.items()
+                target_id: round(lease.expires_at - now, 3)
+                for target_id, lease in self._leases.items()
             },
             "queued_changes": len(self.queue),
         }
