--- a/bramleycrank/daemon/voter_manager.py
+++ b/bramleycrank/daemon/voter_manager.py
@@ -79,9 +79,9 @@
 ) -> object | None:
     """Return the next change of the members that the leader should make, or None.
 
-    - A member whose VM returned with another disk, or whose address another VM uses, is removed at
-      once, because that node never returns. It is removed before its successor is added, so that
-      the quorum does not count it.
+    - A member whose VM returned with another disk, or whose address another VM uses, is removed
+      immediately, because that node never returns. It is removed before its successor is added,
+      so that the quorum does not count it.
     - A newcomer is added as a learner.
     - The number of voters is odd: with an even number, a partition into two halves leaves neither
       of them with a quorum.
--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -37,9 +37,9 @@
 
     Parameters
     ----------
-    near : tuple of VmRecord
+    local_peers : tuple of VmRecord
         All other VMs of the own domain.
-    far : tuple of VmRecord
+    remote_peers : tuple of VmRecord
         Partners in other domains.
     remote_domain_count : int
         Number of other domains.
