--- a/tests/test_membership_borders.py
+++ b/tests/test_membership_borders.py
@@ -133,7 +133,7 @@
         for local in vms
         for rec in PeerSelection.from_peers(
             local, [other for other in vms if other is not local]
-        ).far
+        ).remote_peers
     )
     assert (
         len(partner_counts) == len(vms)
