--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -106,7 +106,7 @@
         self.table = ReplicaTable(domain, rng, warmup_s=0.0)
         self._budget_cfg = budget_cfg
         self._rng = rng
-        self._has_room = has_capacity
+        self._pool_has_capacity = has_capacity
         self._vm_count = vm_count
         self._budgets: dict[str, RetryBudget] = {}
         self._latencies: dict[str, LatencyEstimate] = {}
@@ -123,7 +123,7 @@
         """
         exclude = set(tried)
         while (target_id := self.table.choose(service, SINGLE_SHARD, 0, exclude, now)) is not None:
-            if self.table.has_capacity(target_id) and self._has_room(target_id):
+            if self.table.has_capacity(target_id) and self._pool_has_capacity(target_id):
                 return target_id
             exclude.add(target_id)
         return None
