--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -35,7 +35,7 @@
 The second target needs the remaining time to reply within the objective.
 """
 
-UNKNOWN_HEDGE_S = 0.1
+DEFAULT_HEDGE_DELAY_S = 0.1
 """Hedge delay of a route without an objective until its latencies are known, in seconds."""
 
 
@@ -171,7 +171,7 @@
         """
         latency = self._latencies.get(route)
         if latency is None or latency.samples < MIN_SAMPLES:
-            return objective_s * LATEST_HEDGE_SHARE or UNKNOWN_HEDGE_S
+            return objective_s * LATEST_HEDGE_SHARE or DEFAULT_HEDGE_DELAY_S
         if scarce:
             return latency.quantile(SCARCE_QUANTILE)
         delay_s = latency.quantile(HEDGE_QUANTILE)
