--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -48,7 +48,7 @@
 SHED_DELAY_FACTOR = 4.0
 """Additional cost if a failure is a shed sub-request, since a busy target should get less load."""
 
-UNKNOWN_LATENCY_S = 1e-4
+DEFAULT_LATENCY_S = 1e-4
 """Assumed latency of a target without observations; low, so that the target is chosen."""
 
 OBSERVATION_DECAY_S = 2.0
@@ -141,7 +141,7 @@
 
     def cost(self) -> float:
         """Return the expected cost of one more sub-request, regardless of the observations' age."""
-        load_s = (self.in_flight + 1) * (self.latency_s or UNKNOWN_LATENCY_S) * (1 + self.failures)
+        load_s = (self.in_flight + 1) * (self.latency_s or DEFAULT_LATENCY_S) * (1 + self.failures)
         return load_s * (1 + FAILURE_COST_FACTOR * self.failed_share)
 
     def expected_s(self, now: float) -> float:
@@ -151,7 +151,7 @@
         target that is silent for longer than its usual latency is paused or stuck, and is expected
         to remain so for the same time again.
         """
-        usual_s = self.latency_s or UNKNOWN_LATENCY_S
+        usual_s = self.latency_s or DEFAULT_LATENCY_S
         queue_rounds = max(1.0, (self.in_flight + 1) / self.slots)
         silent_s = now - self.busy_since if self.in_flight else 0.0
         wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
