--- a/bramleycrank/daemon/explain.py
+++ b/bramleycrank/daemon/explain.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 # Silence after which a member is reported, in seconds: several missed heartbeats of 150 ms.
-SILENT_S = 1.0
+MEMBER_SILENCE_S = 1.0
 
 
 def explain_role(
@@ -51,7 +51,7 @@
             continue
         silent_s = now - progress["heard_at"]
         behind = core["commit_index"] - progress["match_index"]
-        if silent_s > SILENT_S:
+        if silent_s > MEMBER_SILENCE_S:
             reasons[node_id] = f"silent for {silent_s:.1f} s, {max(behind, 0)} entries behind"
         elif behind > 0:
             reasons[node_id] = f"{behind} entries behind"
