--- a/bramleycrank/scatter/retry_after.py
+++ b/bramleycrank/scatter/retry_after.py
@@ -17,7 +17,7 @@
 MIN_BUSY_RETRY_AFTER_S = 0.05
 """Minimum retry-after for a busy target, in seconds; some of its requests must end first."""
 
-STARTUP_S = 0.6
+EXPECTED_STARTUP_S = 0.6
 """Time in which a VM gets its routes when all VMs start at the same time, in seconds."""
 
 MIN_STARTUP_RETRY_AFTER_S = 0.1
@@ -52,7 +52,7 @@
 
 def startup_retry_after(uptime_s: float) -> float:
     """Return the time in seconds until a VM that is starting should have its routes."""
-    return max(MIN_STARTUP_RETRY_AFTER_S, STARTUP_S - uptime_s)
+    return max(MIN_STARTUP_RETRY_AFTER_S, EXPECTED_STARTUP_S - uptime_s)
 
 
 def _target_retry_after(target: TargetState, now: float) -> float:
