--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -254,7 +254,7 @@
         """Return the state and the reason for it."""
         return {
             "domain": self.domain,
-            "why": self._why(now),
+            "why": self._explain(now),
             "in_flight": self.in_flight,
             "limit": round(self.limit, 2),
             "latency_ms": round(self.latency_s * 1e3, 3),
@@ -266,7 +266,7 @@
             "reported_load": round(self.reported_load, 3),
         }
 
-    def _why(self, now: float) -> str:
+    def _explain(self, now: float) -> str:
         if self.leaving:
             return "leaving: the target refused work because it is shutting down"
         if self.down:
