--- a/bramleycrank/query/limit.py
+++ b/bramleycrank/query/limit.py
@@ -45,7 +45,7 @@
         self._period_start = 0.0
         self._max_in_flight = 0
         self._long_median_s = 0.0
-        self._why = "initial value"
+        self._reason = "initial value"
 
     def on_end(
         self, latency_s: float, overloaded: bool, in_flight: int, now: float, service: str = ""
@@ -77,14 +77,14 @@
         share, long_median_s = self._overloaded.total() / count, self._long_median_s
         overloaded_service = self._overloaded_service() if share > OVERLOAD_SHARE else None
         if overloaded_service is not None:
-            self._why = f"kept: only the service {overloaded_service} was overloaded"
+            self._reason = f"kept: only the service {overloaded_service} was overloaded"
         elif share > OVERLOAD_SHARE:
             self._decrease(f"{share:.0%} of the requests in a period were overloaded")
         elif long_median_s and median_s > _SLOW_FACTOR * long_median_s:
             self._decrease("the median latency was above twice the long-term median")
         elif self._max_in_flight >= 0.8 * self.value:
             self.value = min(self.maximum, self.value + max(1.0, count / self.value * 0.5))
-            self._why = "raised: the limit was used and latency was good"
+            self._reason = "raised: the limit was used and latency was good"
         weight = _RISE_WEIGHT if median_s > long_median_s else _FALL_WEIGHT
         self._long_median_s = (
             long_median_s + (median_s - long_median_s) * weight if long_median_s else median_s
@@ -106,12 +106,12 @@
 
     def _decrease(self, reason: str) -> None:
         self.value = max(float(min(MIN_LIMIT, self.maximum)), self.value * _DECREASE_FACTOR)
-        self._why = f"lowered: {reason}"
+        self._reason = f"lowered: {reason}"
 
     def dump(self) -> dict[str, Any]:
         """Return the limit and the reason for its last change."""
         return {
             "limit": round(self.value, 1),
-            "why": self._why,
+            "why": self._reason,
             "long_term_median_ms": round(self._long_median_s * 1e3, 3),
         }
