--- a/bramleycrank/membership/anti_entropy.py
+++ b/bramleycrank/membership/anti_entropy.py
@@ -15,7 +15,7 @@
 
 from bramleycrank.membership.records import (
     BUCKETS,
-    GONE_STATES,
+    DEPARTED_STATES,
     Key,
     bucket_of,
     digest,
@@ -138,7 +138,7 @@
         if kind == "vm":
             known = self._view.vms.key(name)
             if known is None:
-                return key[1] not in GONE_STATES
+                return key[1] not in DEPARTED_STATES
         else:
             known = self._view.registry.key(name)
         return known is None or known < key
--- a/bramleycrank/membership/records.py
+++ b/bramleycrank/membership/records.py
@@ -30,7 +30,7 @@
 
 BUCKETS = 256
 LIVE_STATES = frozenset({VM_STATE_ALIVE, VM_STATE_DRAINING, VM_STATE_SUSPECT})
-GONE_STATES = frozenset({VM_STATE_DEAD, VM_STATE_LEFT})
+DEPARTED_STATES = frozenset({VM_STATE_DEAD, VM_STATE_LEFT})
 ENDED_STATES = frozenset({TARGET_STATE_LEAVING, TARGET_STATE_EXPIRED})
 
 Key = tuple[int, int, int, int]
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from bramleycrank.membership.records import GONE_STATES, LIVE_STATES
+from bramleycrank.membership.records import DEPARTED_STATES, LIVE_STATES
 from bramleycrank.membership.target_registry import TargetRegistry
 from bramleycrank.membership.types import Action, MembershipConfig, VmChanged
 from bramleycrank.membership.vm_table import VmTable
@@ -160,5 +160,5 @@
 
     def _enqueue(self, record: VmRecord) -> None:
         record_id = f"vm/{record.vm_id}"
-        urgent = record.state in GONE_STATES
+        urgent = record.state in DEPARTED_STATES
         self.queue.add(record_id, self.vms.key(record.vm_id), record.ByteSize(), urgent=urgent)
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -7,7 +7,7 @@
 
 from bramleycrank.membership.peer_selection import PeerSelection
 from bramleycrank.membership.records import (
-    GONE_STATES,
+    DEPARTED_STATES,
     LIVE_STATES,
     Key,
     address_of,
@@ -112,7 +112,7 @@
         """
         key = vm_key(record)
         known = self._keys.get(record.vm_id)
-        if known is None and record.state in GONE_STATES:
+        if known is None and record.state in DEPARTED_STATES:
             return False
         if known is not None and key <= known:
             return False
@@ -127,7 +127,7 @@
 
     def _update_deadlines(self, record: VmRecord, now: float) -> None:
         vm_id = record.vm_id
-        if record.state in GONE_STATES:
+        if record.state in DEPARTED_STATES:
             self._gone_at.setdefault(vm_id, now)
         else:
             self._gone_at.pop(vm_id, None)
