--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -78,7 +78,7 @@
             actions += self._suspect_awaited(now)
         for record in self._view.vms.overdue_suspects(now):
             actions += self._view.merge_vm(record, now)
-        self._view.remove_gone_vms(now)
+        self._view.remove_departed_vms(now)
         return actions + self._probe_next(now) + self._probe_unreachable(now)
 
     def _suspect_awaited(self, now: float) -> list[Action]:
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -148,9 +148,9 @@
         self._enqueue(record)
         return [VmChanged(record)]
 
-    def remove_gone_vms(self, now: float) -> None:
+    def remove_departed_vms(self, now: float) -> None:
         """Remove dead and left VMs after their retention time."""
-        for vm_id in self.vms.remove_gone_vms(now):
+        for vm_id in self.vms.remove_departed_vms(now):
             self.queue.discard(f"vm/{vm_id}")
 
     def is_live(self, vm_id: str) -> bool:
--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -158,7 +158,7 @@
         for vm_id in self._suspect_until:
             self._suspect_until[vm_id] += delay_s
 
-    def remove_gone_vms(self, now: float) -> list[str]:
+    def remove_departed_vms(self, now: float) -> list[str]:
         """Remove dead and left records after their retention time and return their ids."""
         limit = now - self._cfg.record_retention_s
         dropped = [vm_id for vm_id, since in self._gone_at.items() if since <= limit]
