--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -80,7 +80,7 @@
         """Return the messages that carry out a `PushRecords` action."""
         local, peers = self._view.vms.local, self._view.vms.peers()
         if len(self._outboxes) > 2 * len(peers) + SPARE_OUTBOXES:
-            self._remove_gone_outboxes()
+            self._remove_departed_outboxes()
         if action.fanout:
             local_peers = self._view.vms.selection().local_peers
             peers = local_peers if action.own_domain_only else peers
@@ -168,7 +168,7 @@
             outbox.acknowledged.clear()  # a restarted VM may have lost its records
         return outbox
 
-    def _remove_gone_outboxes(self) -> None:
+    def _remove_departed_outboxes(self) -> None:
         for outbox in [
             candidate for candidate in self._outboxes.values() if candidate.open_id is None
         ]:
