--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -43,7 +43,7 @@
         self.local_id = local.vm_id
         self._records: dict[str, VmRecord] = {local.vm_id: local}
         self._keys: dict[str, Key] = {local.vm_id: vm_key(local)}
-        self._gone_at: dict[str, float] = {}
+        self._departed_at: dict[str, float] = {}
         self._suspect_until: dict[str, float] = {}
         self._former_addresses: dict[str, str] = {}
         # Cached because they are read for each message; rebuilt after a change.
@@ -101,7 +101,7 @@
     def _counts_for_budget(self, rec: VmRecord, now: float) -> bool:
         if rec.control_only:
             return False
-        gone_at = self._gone_at.get(rec.vm_id)
+        gone_at = self._departed_at.get(rec.vm_id)
         return gone_at is None or now - gone_at < self._cfg.budget_retention_s
 
     def merge(self, record: VmRecord, now: float) -> bool:
@@ -128,9 +128,9 @@
     def _update_deadlines(self, record: VmRecord, now: float) -> None:
         vm_id = record.vm_id
         if record.state in DEPARTED_STATES:
-            self._gone_at.setdefault(vm_id, now)
+            self._departed_at.setdefault(vm_id, now)
         else:
-            self._gone_at.pop(vm_id, None)
+            self._departed_at.pop(vm_id, None)
             self._former_addresses.pop(address_of(record), None)
         if record.state == VM_STATE_SUSPECT:
             self._suspect_until[vm_id] = now + self._suspicion_s()
@@ -161,10 +161,10 @@
     def remove_departed_vms(self, now: float) -> list[str]:
         """Remove dead and left records after their retention time and return their ids."""
         limit = now - self._cfg.record_retention_s
-        dropped = [vm_id for vm_id, since in self._gone_at.items() if since <= limit]
+        dropped = [vm_id for vm_id, since in self._departed_at.items() if since <= limit]
         for vm_id in dropped:
             record = self._records.pop(vm_id)
-            del self._keys[vm_id], self._gone_at[vm_id]
+            del self._keys[vm_id], self._departed_at[vm_id]
             if record.state != VM_STATE_LEFT:
                 self._former_addresses[address_of(record)] = vm_id
         while len(self._former_addresses) > MAX_FORMER_ADDRESSES:
@@ -177,7 +177,7 @@
         These are the addresses of dead and removed VMs and of seeds, unless a live VM has them.
         """
         self.live()
-        gone = (self._records[vm_id] for vm_id in self._gone_at)
+        gone = (self._records[vm_id] for vm_id in self._departed_at)
         addresses = dict.fromkeys([*self._former_addresses, *seeds], "")
         addresses.update(
             {
@@ -200,7 +200,7 @@
         """
         limit = now - self._cfg.record_retention_s / 2
         for vm_id, record in self._records.items():
-            if include_unadvertised or self._gone_at.get(vm_id, now) > limit:
+            if include_unadvertised or self._departed_at.get(vm_id, now) > limit:
                 yield f"vm/{vm_id}", record.state, self._keys[vm_id]
 
     def dump(self, now: float) -> dict[str, object]:
@@ -211,8 +211,8 @@
                 "incarnation": record.incarnation,
                 "domain": record.domain,
                 "address": address_of(record),
-                "gone_for_s": round(now - self._gone_at[vm_id], 3)
-                if vm_id in self._gone_at
+                "gone_for_s": round(now - self._departed_at[vm_id], 3)
+                if vm_id in self._departed_at
                 else None,
                 "dead_in_s": round(self._suspect_until[vm_id] - now, 3)
                 if vm_id in self._suspect_until
