--- a/bramleycrank/membership/target_table.py
+++ b/bramleycrank/membership/target_table.py
@@ -66,7 +66,7 @@
         self._by_home: dict[str, set[str]] = defaultdict(set)
         self._by_bucket: dict[int, set[str]] = defaultdict(set)
         self._homes: dict[str, _HomeState] = {vm_id: _HomeState(live=True, known=True, since=0.0)}
-        self._gone_homes: set[str] = set()
+        self._departed_homes: set[str] = set()
         self._ended: dict[str, None] = {}
 
     def get(self, target_id: str) -> TargetRecord | None:
@@ -170,9 +170,9 @@
     def _set_home(self, vm_id: str, home: _HomeState) -> None:
         self._homes[vm_id] = home
         if home.live:
-            self._gone_homes.discard(vm_id)
+            self._departed_homes.discard(vm_id)
         else:
-            self._gone_homes.add(vm_id)
+            self._departed_homes.add(vm_id)
 
     def _update_usability(self, vm_id: str, now: float) -> list[TargetRecord]:
         changed = []
@@ -187,7 +187,7 @@
     def tick(self, now: float) -> list[TargetRecord]:
         """Apply grace and retention times; return the records whose usability changed."""
         changed = []
-        for vm_id in list(self._gone_homes):
+        for vm_id in list(self._departed_homes):
             gone_for_s = now - self._homes[vm_id].since
             if gone_for_s >= self._cfg.home_grace_s:
                 changed += self._update_usability(vm_id, now)
@@ -201,7 +201,7 @@
             if self._entries[target_id].ended_at is None:
                 self._remove(target_id)
         del self._homes[vm_id]
-        self._gone_homes.discard(vm_id)
+        self._departed_homes.discard(vm_id)
 
     def _remove_ended(self, now: float) -> None:
         overdue = [
