--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -177,12 +177,12 @@
         These are the addresses of dead and removed VMs and of seeds, unless a live VM has them.
         """
         self.live()
-        gone = (self._records[vm_id] for vm_id in self._departed_at)
+        departed = (self._records[vm_id] for vm_id in self._departed_at)
         addresses = dict.fromkeys([*self._former_addresses, *seeds], "")
         addresses.update(
             {
                 address_of(gone_record): gone_record.vm_id
-                for gone_record in gone
+                for gone_record in departed
                 if gone_record.state == VM_STATE_DEAD
             }
         )
