--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -181,9 +181,9 @@
         addresses = dict.fromkeys([*self._former_addresses, *seeds], "")
         addresses.update(
             {
-                address_of(gone_record): gone_record.vm_id
-                for gone_record in departed
-                if gone_record.state == VM_STATE_DEAD
+                address_of(departed_record): departed_record.vm_id
+                for departed_record in departed
+                if departed_record.state == VM_STATE_DEAD
             }
         )
         return {
