--- a/bramleycrank/membership/target_table.py
+++ b/bramleycrank/membership/target_table.py
@@ -47,7 +47,7 @@
     """Stores the targets that this VM knows.
 
     A record is usable while its state is SERVING and its home VM is live or stopped being live less
-    than `home_grace_s` ago. Records whose home VM is unknown or gone are neither usable nor
+    than `home_grace_s` ago. Records whose home VM is unknown or departed are neither usable nor
     advertised, so VMs do not exchange them any more after the home VM was removed.
 
     Parameters
