--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -113,7 +113,7 @@
     _mechanism(
         "silent targets tried by a connection",
         "a domain cut off",
-        ("connections/http_pool", "SILENCE_S", NEVER),
+        ("connections/http_pool", "TARGET_SILENCE_S", NEVER),
     ),
     _mechanism("spread returns", "a fault ends", ("scatter/retry_after", "JITTER_SHARE", "0.0")),
     _mechanism(
--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -18,7 +18,7 @@
 BACKOFF_S, BACKOFF_MAX_S = 0.25, 1.0
 """First and longest interval between attempts to connect to a target that is down, in seconds."""
 
-SILENCE_S = 0.25
+TARGET_SILENCE_S = 0.25
 """Silence of a target with sub-requests in flight after which a new connection is opened."""
 
 PROBE_INTERVAL_S = 1.0
@@ -188,11 +188,11 @@
         silent = {
             sub.target_id
             for sub in self._sub_by_conn.values()
-            if sub.sent and now - sub.sent_at > SILENCE_S
+            if sub.sent and now - sub.sent_at > TARGET_SILENCE_S
         }
         for target_id in silent:
             target = self._targets.get(target_id)
-            if target is None or target.down or now - target.answered_at <= SILENCE_S:
+            if target is None or target.down or now - target.answered_at <= TARGET_SILENCE_S:
                 continue
             if now - target.probed_at > PROBE_INTERVAL_S:
                 target.probed_at = now
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -5,7 +5,7 @@
 from bramleycrank.connections.http_pool import (
     CONNECT_TIMEOUT_S,
     LINGER_S,
-    SILENCE_S,
+    TARGET_SILENCE_S,
     CancelOutcome,
     HttpPool,
     PooledSubRequest,
@@ -142,7 +142,7 @@
     fixture = PoolFixture()
     fixture.send(1)
     fixture.conns[0].open()
-    fixture.run(SILENCE_S + CONNECT_TIMEOUT_S + 0.2)
+    fixture.run(TARGET_SILENCE_S + CONNECT_TIMEOUT_S + 0.2)
     assert fixture.events == [("lost", 1, True)] and fixture.down == [True]
 
 
@@ -150,7 +150,7 @@
     fixture = PoolFixture()
     fixture.send(1)
     fixture.conns[0].open()
-    fixture.run(SILENCE_S + 0.1)
+    fixture.run(TARGET_SILENCE_S + 0.1)
     fixture.conns[1].open()
     fixture.run(0.8)
     assert fixture.events == [] and fixture.down == [] and len(fixture.conns) == 2
