--- a/bramleycrank/membership/vm_table.py
+++ b/bramleycrank/membership/vm_table.py
@@ -101,8 +101,8 @@
     def _counts_for_budget(self, rec: VmRecord, now: float) -> bool:
         if rec.control_only:
             return False
-        gone_at = self._departed_at.get(rec.vm_id)
-        return gone_at is None or now - gone_at < self._cfg.budget_retention_s
+        departed_at = self._departed_at.get(rec.vm_id)
+        return departed_at is None or now - departed_at < self._cfg.budget_retention_s
 
     def merge(self, record: VmRecord, now: float) -> bool:
         """Store a record if it is newer; return whether the table changed.
