--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -15,7 +15,7 @@
 LINGER_S = 1.0
 """How long a target may finish a superseded sub-request, in seconds."""
 
-BACKOFF_S, BACKOFF_MAX_S = 0.25, 1.0
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0
 """First and longest interval between attempts to connect to a target that is down, in seconds."""
 
 TARGET_SILENCE_S = 0.25
@@ -179,7 +179,7 @@
             for conn in [c for c in target.idle if not _is_usable(c, now)]:
                 conn.close()
             if target.down and now >= target.retry_at:
-                target.retry_at = now + BACKOFF_MAX_S
+                target.retry_at = now + MAX_BACKOFF_S
                 self._open(target)
         self._probe_silent_targets(now)
 
@@ -284,7 +284,7 @@
             sub.listener.on_lost(sub, sent=sub.sent, garbled=garbled)
 
     def _set_down(self, target: _Target) -> None:
-        backoff_s = min(BACKOFF_MAX_S, BACKOFF_S * 2**target.failures)
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**target.failures)
         target.failures = min(target.failures + 1, 10)
         target.retry_at = self._clock() + backoff_s
         if target.down or target.retired:
--- a/bramleycrank/daemon/membership_controller.py
+++ b/bramleycrank/daemon/membership_controller.py
@@ -167,7 +167,7 @@
         return self.core.live_vms(self._clock())
 
     def all_vms(self) -> list[VmRecord]:
-        """Return all known VMs, also those that left or are dead, until their retention ends.
+        """Return all known VMs, including those that left or are dead, until their retention ends.
 
         Dead VMs are listed for `DEAD_RETENTION_S`.
         """
--- a/bramleycrank/query/limit.py
+++ b/bramleycrank/query/limit.py
@@ -96,7 +96,7 @@
         return overloaded_service
 
     def _overloaded_service(self) -> str | None:
-        """Return the service without whose requests the period shows no overload, or None."""
+        """Return the service that alone caused the overload of the period, or None."""
         [(service, overloaded)] = self._overloaded.most_common(1)
         others = self._ended.total() - self._ended[service]
         if others < _MIN_REQUESTS:
