--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -190,7 +190,7 @@
     # Steps of the life cycle.
 
     async def start_parts(self) -> None:
-        """Build and start everything."""
+        """Build and start all parts of the VM."""
         rng = random.Random()
         cfg = self._cfg
         # Voters are added automatically here, so one with a damaged log can start with an empty
--- a/bramleycrank/daemon/life_cycle.py
+++ b/bramleycrank/daemon/life_cycle.py
@@ -49,10 +49,10 @@
     """Events of the state machine."""
 
     def started(self) -> None:
-        """Handle that all parts are running."""
+        """Handle the start of all parts."""
 
     def joined(self) -> None:
-        """Handle that a configuration is in force."""
+        """Handle the first configuration in force."""
 
     def drain(self) -> None:
         """Handle an operator's drain of the VM."""
@@ -64,10 +64,10 @@
         """Handle SIGTERM or a failed start."""
 
     def drained(self) -> None:
-        """Handle that no request is in flight any more."""
+        """Handle the end of the last request in flight."""
 
     def closed(self) -> None:
-        """Handle that all parts are closed."""
+        """Handle the close of all parts."""
 
 
 @attrs.define
