--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -12,7 +12,7 @@
 FAILURES_TO_EJECT = 5
 """Consecutive failures after which a target is ejected."""
 
-MIN_EJECTION_S, EJECT_MAX_S = 1.0, 60.0
+MIN_EJECTION_S, MAX_EJECTION_S = 1.0, 60.0
 """First and longest duration of an ejection; each further ejection doubles it."""
 
 EJECTION_RESET_S = 30.0
@@ -244,7 +244,7 @@
         self.failures += 1
         self._record_outcome(now, failed=True)
         if self.failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
-            wait = min(EJECT_MAX_S, MIN_EJECTION_S * 2**self.ejections)
+            wait = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self.ejections)
             self.ejections = min(self.ejections + 1, 10)
             self.ejected_at, self.ejected_until = now, now + wait
             # After the ejection, a single failure causes the next ejection.
