--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -21,7 +21,7 @@
 MIN_WARMUP_SHARE = 0.05
 """Smallest load share of a warming target, which keeps observations coming in."""
 
-REPROBE_S, REPROBE_MAX_S = 1.0, 8.0
+MIN_REPROBE_DELAY_S, REPROBE_MAX_S = 1.0, 8.0
 """First and longest time without a sub-request after which a target is tried again regardless of
 its score; the time doubles while the target stays slow.
 
@@ -96,7 +96,7 @@
     sent_at: float = -1e9
     busy_since: float = 0.0  # last end of a sub-request, or first one in flight
     skipped_count: int = 0  # choices since `sent_at` that preferred another target
-    reprobe_s: float = REPROBE_S
+    reprobe_s: float = MIN_REPROBE_DELAY_S
     slow_at: float = -1e9  # when `reprobe_s` was last doubled
     replied_at: float = 0.0
     ended_at: float = 0.0
@@ -190,7 +190,7 @@
         if latency_s > SLOW_FACTOR * self.base_latency_s > 0:
             self._back_off(now)
         else:
-            self.reprobe_s = REPROBE_S
+            self.reprobe_s = MIN_REPROBE_DELAY_S
         previous_s, since_s = self.latency_s, now - self.replied_at
         self.replied_at = now
         if not previous_s:
