--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -81,7 +81,7 @@
     _mechanism(
         "rarer trials of slow targets",
         "a fifth of the targets slow for seconds",
-        (TARGETS, "MIN_REPROBE_DELAY_S, REPROBE_MAX_S", "1.0, 1.0"),
+        (TARGETS, "MIN_REPROBE_DELAY_S, MAX_REPROBE_DELAY_S", "1.0, 1.0"),
     ),
     _mechanism(
         "share of failures", "a target fails a part", (TARGETS, "FAILURE_COST_FACTOR", "0.0")
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -21,7 +21,7 @@
 MIN_WARMUP_SHARE = 0.05
 """Smallest load share of a warming target, which keeps observations coming in."""
 
-MIN_REPROBE_DELAY_S, REPROBE_MAX_S = 1.0, 8.0
+MIN_REPROBE_DELAY_S, MAX_REPROBE_DELAY_S = 1.0, 8.0
 """First and longest time without a sub-request after which a target is tried again regardless of
 its score; the time doubles while the target stays slow.
 
@@ -215,7 +215,7 @@
     def _back_off(self, now: float) -> None:
         """Double the time until the next trial, once for all sub-requests of a trial."""
         if now - self.slow_at >= self.reprobe_s:
-            self.reprobe_s = min(REPROBE_MAX_S, 2 * self.reprobe_s)
+            self.reprobe_s = min(MAX_REPROBE_DELAY_S, 2 * self.reprobe_s)
             self.slow_at = now
 
     def _record_outcome(self, now: float, *, failed: bool, shed: bool = False) -> None:
--- a/tests/test_query_slow_local.py
+++ b/tests/test_query_slow_local.py
@@ -7,7 +7,7 @@
 from query_fakes import SERVICE, record
 
 from bramleycrank.query.replicas import ReplicaTable
-from bramleycrank.query.targets import REPROBE_MAX_S
+from bramleycrank.query.targets import MAX_REPROBE_DELAY_S
 from bramleycrank.query.types import Snapshot
 
 ONE_SHARD = Snapshot(1, 1)
@@ -127,7 +127,7 @@
         table.on_sent(target, now)
         table.on_reply(target, SLOW_S if slow else USUAL_S, now)
     assert trials <= 4, "trials after 1, 2, 4 and 8 s; without back-off there is one per second"
-    assert recovered_at - slow_until <= REPROBE_MAX_S + 1.0
+    assert recovered_at - slow_until <= MAX_REPROBE_DELAY_S + 1.0
 
 
 def test_concurrent_requests_stay_in_the_own_domain():
