--- a/bramleycrank/query/admission.py
+++ b/bramleycrank/query/admission.py
@@ -38,7 +38,7 @@
 
 _WINDOW_SAMPLES = 512  # samples after which the earlier counts are halved
 
-_MIN_RETRY_AFTER_MS, _RETRY_AFTER_MAX_MS = 20, 10_000
+_MIN_RETRY_AFTER_MS, _MAX_RETRY_AFTER_MS = 20, 10_000
 
 _Action = Admit | Refuse
 
@@ -306,5 +306,5 @@
 
 
 def _error(kind: type[BramleycrankError], message: str, wait_s: float) -> BramleycrankError:
-    wait_ms = min(_RETRY_AFTER_MAX_MS, max(_MIN_RETRY_AFTER_MS, int(wait_s * 1e3)))
+    wait_ms = min(_MAX_RETRY_AFTER_MS, max(_MIN_RETRY_AFTER_MS, int(wait_s * 1e3)))
     return kind(message, outcome=Outcome.NOT_RUN, retry_after_ms=wait_ms)
