--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -33,7 +33,7 @@
 class CancelOutcome(enum.Enum):
     """Outcome of a cancelled sub-request."""
 
-    ANSWERED = enum.auto()  # the target answered after the cancellation
+    ANSWERED = enum.auto()  # the target responded after the cancellation
     CANCELLED = enum.auto()  # it was not sent, or its connection was closed immediately
     SILENT = enum.auto()  # no response within the time limit, or the connection was lost
 
--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -53,8 +53,8 @@
     """Monitors the connections to one target and decides when to open, ping and close them.
 
     A check proceeds in these steps: send a ping on the silent connection; after `ping_grace_s`
-    without an answer, open a second connection if both budgets allow it; close the checked
-    connection if the second one opens and the checked one does not answer within `ping_timeout_s`.
+    without a reply, open a second connection if both budgets allow it; close the checked
+    connection if the second one opens and the checked one does not reply within `ping_timeout_s`.
     A message on the checked connection ends the check at any time. If no second connection can be
     opened, the target is down. With a share of one connection, the checked connection is closed
     before the new one opens.
@@ -103,7 +103,7 @@
     # Events.
 
     def on_open(self, conn_id: int, now: float) -> list[Action]:
-        """Handle a new connection on which the target has answered."""
+        """Handle a new connection on which the target has responded."""
         self._opening = False
         self._has_opened = True
         self._next_tick_at = now
@@ -131,7 +131,7 @@
         if self._check is not None and refused:
             return self._close_checked()
         if self._conns and self._check is None:
-            return []  # the other connection has answered in the meantime
+            return []  # the target has responded on the other connection
         return self._set_down()
 
     def on_sent(self, conn_id: int, now: float, count: int = 1) -> list[Action]:
@@ -147,7 +147,7 @@
         return []
 
     def on_done(self, conn_id: int, now: float, latency_s: float | None = None) -> list[Action]:
-        """Handle the end of a sub-request, with its latency if it was answered."""
+        """Handle the end of a sub-request, with its latency if the target replied."""
         conn = self._conns.get(conn_id)
         if conn is not None and conn.in_flight:
             conn.in_flight -= 1
@@ -169,7 +169,7 @@
         return self._end_check(conn_id)
 
     def on_pong(self, conn_id: int, ping_id: int, now: float) -> list[Action]:
-        """Handle the answer to a ping."""
+        """Handle the reply to a ping."""
         return self.on_bytes(conn_id, now)
 
     def on_closed(self, conn_id: int, now: float) -> list[Action]:
@@ -241,7 +241,7 @@
     def _ping_due(self, conn: _Conn) -> float:
         """Return when to ping a connection without requests in flight.
 
-        The ping is sent before the idle interval ends if requests were cancelled before any answer.
+        The ping is sent before the idle interval ends if requests were cancelled before any reply.
         If hedges at other targets always win, no request is in flight for long enough to start a
         check.
         """
@@ -300,7 +300,7 @@
         return [CloseConnection(conn_id, CloseReason.SILENT)]
 
     def _end_check(self, conn_id: int) -> list[Action]:
-        """Keep the connection that answered and close a second one."""
+        """Keep the connection on which the target responded and close a second one."""
         self._check = None
         surplus = [other for other in self._conns if other != conn_id]
         for other in surplus:
--- a/bramleycrank/connections/types.py
+++ b/bramleycrank/connections/types.py
@@ -59,7 +59,7 @@
 class CloseReason(enum.StrEnum):
     """Why the monitor closes a connection."""
 
-    SILENT = "silent"  # no message on it, while the target may answer on another one
+    SILENT = "silent"  # no message on it, while the target may respond on another one
     NOT_NEEDED = "not_needed"  # the older connection works
 
 
@@ -88,14 +88,14 @@
 
 @attrs.frozen
 class TargetDown:
-    """The target answers on no connection."""
+    """The target responds on no connection."""
 
     target_id: str
 
 
 @attrs.frozen
 class TargetUp:
-    """The target answers again."""
+    """The target responds again."""
 
     target_id: str
 
--- a/tests/query_fakes.py
+++ b/tests/query_fakes.py
@@ -137,7 +137,7 @@
 
 
 class FakeSessions:
-    """Records sent sub-requests; tests answer them, or set `on_send`."""
+    """Records sent sub-requests; tests reply to them, or set `on_send`."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, SubRequest]] = []
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -13,7 +13,7 @@
 
 
 class FakeConnection:
-    """A connection that tests can open, answer and close."""
+    """A connection that tests can open, respond on and close."""
 
     def __init__(self, fixture) -> None:
         self.fixture = fixture
