--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -136,7 +136,7 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_answer(self, sub_id: int, reply: TargetReply, now: float) -> list[Action]:
+    def on_reply(self, sub_id: int, reply: TargetReply, now: float) -> list[Action]:
         """Handle a complete reply of a target."""
         open_sub = self._open_subs.get(sub_id)
         if open_sub is None:
@@ -146,7 +146,7 @@
             return self.on_failure(sub_id, SubFailure(FailureKind.ERROR, reply), now)
         self._remove_sub(shard, sub)
         self._may_have_run = True
-        self._policy.on_answer(self.route.name, sub.target_id, reply, now - sub.sent_at, now)
+        self._policy.on_reply(self.route.name, sub.target_id, reply, now - sub.sent_at, now)
         if not self.route.gather:
             return self._end_with(Answer(reply), now)
         # Other records cannot be in the answer; trimming saves memory until all shards replied.
@@ -154,7 +154,7 @@
         shard.part = Part(shard.service, reply.receipt, body)
         actions = self._cancel(shard, True, now)
         self._end_shard(shard)
-        self._stream.on_answer(now)
+        self._stream.on_reply(now)
         return [*actions, *self._end_if_settled(now)]
 
     def on_failure(self, sub_id: int, failure: SubFailure, now: float) -> list[Action]:
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -66,7 +66,7 @@
     def on_sent(self, target_id: str, now: float) -> None:
         """Count a sub-request in flight."""
 
-    def on_answer(
+    def on_reply(
         self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
@@ -195,7 +195,7 @@
         """Count a sub-request in flight."""
         self.table.on_sent(target_id, now)
 
-    def on_answer(
+    def on_reply(
         self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
--- a/bramleycrank/scatter/stream.py
+++ b/bramleycrank/scatter/stream.py
@@ -35,7 +35,7 @@
     first_at: float = 0.0
     last_at: float = 0.0
 
-    def on_answer(self, now: float) -> None:
+    def on_reply(self, now: float) -> None:
         """Count a reply."""
         if not self.count:
             self.first_at = now
--- a/bramleycrank/scatter/types.py
+++ b/bramleycrank/scatter/types.py
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class Forward:
-    """Send the request to a target; its end is reported to `on_answer` or `on_failure`.
+    """Send the request to a target; its end is reported to `on_reply` or `on_failure`.
 
     Parameters
     ----------
--- a/tests/test_scatter_execution.py
+++ b/tests/test_scatter_execution.py
@@ -25,8 +25,8 @@
 def test_parts_are_merged_as_soon_as_all_shards_have_replied():
     execution, subs, _ = begin(gather_route(), FakePolicy())
     for service in ("s0", "s1", "s2"):
-        assert execution.on_answer(subs[service].sub_id, target_reply(body=b"x" * 16), 0.02) == []
-    [merged] = execution.on_answer(subs["s3"].sub_id, target_reply(), 0.03)
+        assert execution.on_reply(subs[service].sub_id, target_reply(body=b"x" * 16), 0.02) == []
+    [merged] = execution.on_reply(subs["s3"].sub_id, target_reply(), 0.03)
     assert isinstance(merged, Merged)
     assert [part.service for part in merged.parts] == ["s0", "s1", "s2", "s3"]
     assert merged.missing == 0
@@ -36,10 +36,10 @@
     """Load pattern: one replica stalls for longer than the objective."""
     execution, subs, _ = begin(gather_route(), FakePolicy())
     for service in ("s0", "s1", "s2"):
-        execution.on_answer(subs[service].sub_id, target_reply(), 0.01)
+        execution.on_reply(subs[service].sub_id, target_reply(), 0.01)
     [hedge] = actions_of(Forward, execution.tick(0.05))
     assert (hedge.service, hedge.target_id) == ("s3", "s3-1")
-    actions = execution.on_answer(hedge.sub_id, target_reply(), 0.07)
+    actions = execution.on_reply(hedge.sub_id, target_reply(), 0.07)
     assert actions_of(Cancel, actions) == [Cancel(subs["s3"].sub_id, "s3-0", True)]
     assert actions_of(Merged, actions)[0].missing == 0
 
@@ -48,7 +48,7 @@
     """Load pattern: both replicas of a shard are slow; coverage is above the minimum."""
     execution, subs, _ = begin(gather_route(), FakePolicy())
     for service in ("s0", "s1", "s2"):
-        execution.on_answer(subs[service].sub_id, target_reply(), 0.01)
+        execution.on_reply(subs[service].sub_id, target_reply(), 0.01)
     execution.tick(0.05)
     due = execution.next_deadline()
     assert 0.05 < due < 0.1
@@ -59,10 +59,10 @@
 def test_below_the_minimum_coverage_the_request_waits_beyond_the_objective():
     execution, subs, _ = begin(gather_route(), FakePolicy())
     for service in ("s0", "s1"):
-        execution.on_answer(subs[service].sub_id, target_reply(), 0.01)
+        execution.on_reply(subs[service].sub_id, target_reply(), 0.01)
     execution.tick(0.05)
     assert actions_of(Merged, execution.tick(0.12)) == []
-    actions = execution.on_answer(subs["s2"].sub_id, target_reply(), 0.25)
+    actions = execution.on_reply(subs["s2"].sub_id, target_reply(), 0.25)
     assert actions_of(Merged, actions)[0].missing == 1, (
         "the objective is missed, so the minimum coverage is enough"
     )
@@ -101,7 +101,7 @@
     execution, subs, _ = begin(route, policy)
     for number in range(count):
         at = last_s - (count - 1 - number) * spacing_s
-        execution.on_answer(subs[f"s{number}"].sub_id, target_reply(), at)
+        execution.on_reply(subs[f"s{number}"].sub_id, target_reply(), at)
     return execution
 
 
@@ -202,7 +202,7 @@
         [sub] = actions_of(
             Forward, execution.on_failure(sub.sub_id, SubFailure(FailureKind.NOT_SENT), 0.0)
         )
-    [action] = execution.on_answer(sub.sub_id, target_reply(), 0.1)
+    [action] = execution.on_reply(sub.sub_id, target_reply(), 0.1)
     assert isinstance(action, Answer)
 
 
@@ -259,21 +259,21 @@
 def test_an_error_reply_is_passed_on_when_the_retry_fails_too():
     execution, subs, _ = begin(single_route(), FakePolicy())
     error_reply = target_reply(status=500)
-    [retry] = actions_of(Forward, execution.on_answer(subs["records"].sub_id, error_reply, 0.01))
-    [action] = execution.on_answer(retry.sub_id, error_reply, 0.02)
+    [retry] = actions_of(Forward, execution.on_reply(subs["records"].sub_id, error_reply, 0.01))
+    [action] = execution.on_reply(retry.sub_id, error_reply, 0.02)
     assert action == Answer(error_reply)
 
 
 def test_a_client_error_of_a_target_is_passed_on_without_retry():
     execution, subs, _ = begin(single_route(), FakePolicy())
     not_found = target_reply(status=404)
-    assert execution.on_answer(subs["records"].sub_id, not_found, 0.01) == [Answer(not_found)]
+    assert execution.on_reply(subs["records"].sub_id, not_found, 0.01) == [Answer(not_found)]
 
 
 def test_replies_after_the_end_have_no_effect():
     execution, subs, _ = begin(single_route(), FakePolicy())
-    execution.on_answer(subs["records"].sub_id, target_reply(), 0.01)
-    assert execution.on_answer(subs["records"].sub_id, target_reply(), 0.02) == []
+    execution.on_reply(subs["records"].sub_id, target_reply(), 0.01)
+    assert execution.on_reply(subs["records"].sub_id, target_reply(), 0.02) == []
     assert execution.on_failure(subs["records"].sub_id, REFUSED, 0.02) == []
 
 
--- a/tests/test_scatter_policy.py
+++ b/tests/test_scatter_policy.py
@@ -31,7 +31,7 @@
         slow = number % 100 < slow_share * 100
         policy.on_request("s", now)
         policy.on_sent("t", now)
-        policy.on_answer("route", "t", target_reply(), slow_s if slow else 0.02, now)
+        policy.on_reply("route", "t", target_reply(), slow_s if slow else 0.02, now)
     return policy
 
 
@@ -82,7 +82,7 @@
     for number in range(20):
         now = 1.0 + number
         queued = LoadReport(in_flight=8, queued=5, slots=8)
-        policy.on_answer("route", "t", TargetReply(200, [], b"", b"r", queued), 0.1, now)
+        policy.on_reply("route", "t", TargetReply(200, [], b"", b"r", queued), 0.1, now)
         policy.on_sent("t", now)
     assert policy.choose("s", (), 30.0) is None
     assert policy.has_targets("s", (), 30.0), "the request must wait, not fail"
