--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -38,7 +38,7 @@
     failures: int = 0
     down: bool = False
     retry_at: float = 0.0
-    answered_at: float = 0.0
+    replied_at: float = 0.0
     probed_at: float = 0.0
     retired: bool = False
 
@@ -192,7 +192,7 @@
         }
         for target_id in silent:
             target = self._targets.get(target_id)
-            if target is None or target.down or now - target.answered_at <= TARGET_SILENCE_S:
+            if target is None or target.down or now - target.replied_at <= TARGET_SILENCE_S:
                 continue
             if now - target.probed_at > PROBE_INTERVAL_S:
                 target.probed_at = now
@@ -242,7 +242,7 @@
             conn.close()
             return
         if conn in self._target_by_conn:
-            self._target_by_conn[conn].answered_at = self._clock()
+            self._target_by_conn[conn].replied_at = self._clock()
         if sub.linger_until is not None:
             self._lingering.discard(sub)
             sub.listener.on_late(sub, response)
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -302,7 +302,7 @@
         )
         if not reply.ok:
             self._record_failure(call, sub, f"status {reply.status}")
-        self._execute(call, execution.on_answer(sub.sub_id, reply, now))
+        self._execute(call, execution.on_reply(sub.sub_id, reply, now))
         return True
 
     def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -151,10 +151,10 @@
         target that is silent for longer than its usual latency is paused or stuck, and is expected
         to remain so for the same time again.
         """
-        usual_s = self.latency_s or DEFAULT_LATENCY_S
+        latency_s = self.latency_s or DEFAULT_LATENCY_S
         queue_rounds = max(1.0, (self.in_flight + 1) / self.slots)
         silent_s = now - self.busy_since if self.in_flight else 0.0
-        wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
+        wait_s = latency_s * queue_rounds + max(0.0, silent_s - latency_s)
         failure_share = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
         return wait_s * (
             1 + FAILURE_DELAY_FACTOR * failure_share + SHED_DELAY_FACTOR * self.shed_share
--- a/tests/test_scatter_delivery.py
+++ b/tests/test_scatter_delivery.py
@@ -60,7 +60,7 @@
     execution = ScatterExecution(route, FakePolicy(), itertools.count(1), 0.0, 2.0, 0.02)
     subs = {a.service: a for a in execution.start(0.0) if isinstance(a, Forward)}
     for service in ("s0", "s1", "s2"):
-        execution.on_answer(subs[service].sub_id, target_reply(), 0.01)
+        execution.on_reply(subs[service].sub_id, target_reply(), 0.01)
     execution.tick(0.05)
     due = execution.next_deadline()
     assert due + 0.02 < route.objective_s
