--- a/bramleycrank/connections/monitor.py
+++ b/bramleycrank/connections/monitor.py
@@ -212,8 +212,8 @@
     def ready_conn(self) -> int | None:
         """Connection for new sub-requests; None if there is none or one is being checked.
 
-        During a check, the second connection is not used either, since it is closed if the first
-        one answers.
+        During a check, the second connection is not used either, since it is closed if the
+        target responds on the first one.
         """
         if self._check is not None:
             return None
--- a/tests/scatter_fakes.py
+++ b/tests/scatter_fakes.py
@@ -98,7 +98,7 @@
     def on_sent(self, target_id: str, now: float) -> None:
         self.sent.append(target_id)
 
-    def on_reply(self, route, target_id, answer, latency_s, now) -> None:
+    def on_reply(self, route, target_id, reply, latency_s, now) -> None:
         pass
 
     def on_failure(self, target_id, failure, now) -> None:
