--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -85,7 +85,7 @@
     _mechanism(
         "rarer trials of slow targets",
         "a fifth of the targets slow for seconds",
-        (TARGETS, "REPROBE_S, REPROBE_MAX_S", "1.0, 1.0"),
+        (TARGETS, "MIN_REPROBE_DELAY_S, MAX_REPROBE_DELAY_S", "1.0, 1.0"),
     ),
     _mechanism(
         "share of failures",
@@ -121,7 +121,7 @@
     _mechanism(
         "silent targets tried by a connection",
         "a domain partitioned",
-        ("connections/http_pool", "SILENCE_S", NEVER_REACHED),
+        ("connections/http_pool", "TARGET_SILENCE_S", NEVER_REACHED),
     ),
     _mechanism("spread returns", "a fault ends", ("scatter/retry_after", "JITTER_SHARE", "0.0")),
     _mechanism(
@@ -137,7 +137,7 @@
     _mechanism(
         "new targets pushed",
         "all targets report again",
-        ("membership/target_registry", "NEW_FANOUT", "0"),
+        ("membership/target_registry", "NEW_TARGETS_FANOUT", "0"),
     ),
     _mechanism(
         "not ready while cut off",
--- a/bramleycrank/connections/http_pool.py
+++ b/bramleycrank/connections/http_pool.py
@@ -15,10 +15,10 @@
 LINGER_S = 1.0
 """How long a target may finish a superseded sub-request, in seconds."""
 
-BACKOFF_S, BACKOFF_MAX_S = 0.25, 1.0
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0
 """First and longest interval between attempts to connect to a target that is down, in seconds."""
 
-SILENCE_S = 0.25
+TARGET_SILENCE_S = 0.25
 """Silence of a target with sub-requests in flight after which a new connection is opened."""
 
 PROBE_INTERVAL_S = 1.0
@@ -38,7 +38,7 @@
     failures: int = 0
     down: bool = False
     retry_at: float = 0.0
-    answered_at: float = 0.0
+    replied_at: float = 0.0
     probed_at: float = 0.0
     retired: bool = False
 
@@ -179,7 +179,7 @@
             for conn in [c for c in target.idle if not _is_usable(c, now)]:
                 conn.close()
             if target.down and now >= target.retry_at:
-                target.retry_at = now + BACKOFF_MAX_S
+                target.retry_at = now + MAX_BACKOFF_S
                 self._open(target)
         self._probe_silent_targets(now)
 
@@ -188,11 +188,11 @@
         silent = {
             sub.target_id
             for sub in self._sub_by_conn.values()
-            if sub.sent and now - sub.sent_at > SILENCE_S
+            if sub.sent and now - sub.sent_at > TARGET_SILENCE_S
         }
         for target_id in silent:
             target = self._targets.get(target_id)
-            if target is None or target.down or now - target.answered_at <= SILENCE_S:
+            if target is None or target.down or now - target.replied_at <= TARGET_SILENCE_S:
                 continue
             if now - target.probed_at > PROBE_INTERVAL_S:
                 target.probed_at = now
@@ -242,7 +242,7 @@
             conn.close()
             return
         if conn in self._target_by_conn:
-            self._target_by_conn[conn].answered_at = self._clock()
+            self._target_by_conn[conn].replied_at = self._clock()
         if sub.linger_until is not None:
             self._lingering.discard(sub)
             sub.listener.on_late(sub, response)
@@ -284,7 +284,7 @@
             sub.listener.on_lost(sub, sent=sub.sent, garbled=garbled)
 
     def _set_down(self, target: _Target) -> None:
-        backoff_s = min(BACKOFF_MAX_S, BACKOFF_S * 2**target.failures)
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**target.failures)
         target.failures = min(target.failures + 1, 10)
         target.retry_at = self._clock() + backoff_s
         if target.down or target.retired:
--- a/bramleycrank/connections/http_types.py
+++ b/bramleycrank/connections/http_types.py
@@ -33,7 +33,7 @@
 class CancelOutcome(enum.Enum):
     """Outcome of a cancelled sub-request."""
 
-    ANSWERED = enum.auto()  # the target answered after the cancellation
+    ANSWERED = enum.auto()  # the target responded after the cancellation
     CANCELLED = enum.auto()  # it was not sent, or its connection was closed immediately
     SILENT = enum.auto()  # no response within the time limit, or the connection was lost
 
@@ -53,7 +53,7 @@
     def on_late(self, sub: PooledSubRequest, response: Any) -> None:
         """Handle the response to a cancelled sub-request; `on_cancel_completed` follows."""
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Handle the end of a cancelled sub-request, which no longer occupies its target."""
 
 
--- a/bramleycrank/daemon/config_controller.py
+++ b/bramleycrank/daemon/config_controller.py
@@ -45,7 +45,7 @@
 # Delay after a failed tick: it may fail each time, and its tracebacks must not fill the log.
 FAILED_TICK_DELAY_S = 1.0
 
-# Number of VMs to which the leader pushes a new revision at once.
+# Number of VMs to which the leader pushes a new revision concurrently.
 PUSH_FANOUT = 8
 
 # Number of VMs of its own domain to which a VM pushes a revision that it fetched; gossip reaches
@@ -56,7 +56,7 @@
 class Peers(Protocol):
     """The other VMs, as the controller needs them."""
 
-    def spread_sample(self, count: int) -> Sequence[str]:
+    def sample_across_domains(self, count: int) -> Sequence[str]:
         """Return the addresses of up to `count` VMs, spread over the failure domains."""
 
     def local_sample(self, count: int) -> Sequence[str]:
@@ -282,7 +282,7 @@
             previous, self._last_seen_state = self._last_seen_state, seen
             self._adopt_local_state()
             if confirmed and seen != previous:
-                self._push(self._peers.spread_sample(PUSH_FANOUT))
+                self._push(self._peers.sample_across_domains(PUSH_FANOUT))
 
     def _adopt_local_state(self) -> None:
         state = self._consensus.state
@@ -336,8 +336,8 @@
         log.info("config: revision %d is in force", revision)
         if self._cache is not None:
             self._save_to_cache()
-        # This may run within the Raft runner, which stops for good after an exception, so `notify`
-        # catches those of the callbacks.
+        # This may run within the Raft runner, which stops permanently after an exception, so
+        # `notify` catches those of the callbacks.
         notify(self._callbacks)
 
     def _save_to_cache(self) -> None:
--- a/bramleycrank/daemon/entry_controller.py
+++ b/bramleycrank/daemon/entry_controller.py
@@ -40,7 +40,7 @@
 
 
 MAX_LOGGED_FAILURES = 8
-"""Most failed sub-requests that are listed in the log line of a request."""
+"""Most failed sub-requests listed in the log line of a request, which must stay a short line."""
 
 
 class EntryController:
@@ -56,13 +56,13 @@
         Source of the routes.
     targets : Targets
         Source of the targets.
-    extra : RetryBudgetConfig
+    retry_budget : RetryBudgetConfig
         Limits of the retry budget.
     metrics : Metrics
         Receives the metrics.
     rng : random.Random
         Source of random choices.
-    is_cut_off : callable, optional
+    is_isolated : callable, optional
         Returns whether this VM's domain is isolated, so that callers should connect to another VM.
     link_bytes_per_s : float, optional
         Bandwidth of this VM's link in bytes per second; 0 if unknown.
@@ -78,15 +78,15 @@
         dialect: EntryDialect,
         routes: Routes,
         targets: Targets,
-        extra: RetryBudgetConfig,
+        retry_budget: RetryBudgetConfig,
         metrics: Metrics,
         rng: random.Random,
-        is_cut_off: Callable[[], bool] = lambda: False,
+        is_isolated: Callable[[], bool] = lambda: False,
         link_bytes_per_s: float = 0.0,
         memory_bytes: int = 0,
         traffic: Traffic | None = None,
     ) -> None:
-        self._is_cut_off = is_cut_off
+        self._is_isolated = is_isolated
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
         self._started_at = self._clock()
@@ -97,7 +97,7 @@
         self._requests = RequestLog(log, self._clock)
         self._index: RouteIndex | None = None
         self._targets = EntryTargets(
-            domain, targets, extra, metrics, rng, self._resume_waiting, memory_bytes
+            domain, targets, retry_budget, metrics, rng, self._resume_waiting, memory_bytes
         )
         self._calls: set[Call] = set()
         self._waiting: dict[str, list[Call]] = defaultdict(list)
@@ -297,12 +297,12 @@
             self._record_failure(call, sub, kind)
             self._execute(call, execution.on_failure(sub.sub_id, SubFailure(kind), now))
             return True
-        answer = TargetReply(
+        reply = TargetReply(
             response.status, response.headers, response.body, meta.receipt, meta.load
         )
-        if not answer.ok:
-            self._record_failure(call, sub, f"status {answer.status}")
-        self._execute(call, execution.on_answer(sub.sub_id, answer, now))
+        if not reply.ok:
+            self._record_failure(call, sub, f"status {reply.status}")
+        self._execute(call, execution.on_reply(sub.sub_id, reply, now))
         return True
 
     def on_late(self, call: Call, sub: PooledSubRequest, response: Response) -> None:
@@ -335,11 +335,11 @@
         actions = call.execution.on_failure(sub.sub_id, SubFailure(kind), self._clock())
         self._execute(call, actions)
 
-    def on_cancel_completed(self, sub: PooledSubRequest, ending: CancelOutcome) -> None:
+    def on_cancel_completed(self, sub: PooledSubRequest, outcome: CancelOutcome) -> None:
         """Record that a cancelled sub-request no longer occupies a slot of its target."""
         now = self._clock()
-        latency_s = now - sub.started if ending is CancelOutcome.ANSWERED else None
-        silent = ending is CancelOutcome.SILENT
+        latency_s = now - sub.started if outcome is CancelOutcome.ANSWERED else None
+        silent = outcome is CancelOutcome.SILENT
         self._targets.policy.on_cancel_completed(sub.target_id, latency_s, now, silent=silent)
 
     def _record_failure(self, call: Call, sub: PooledSubRequest, reason: str) -> None:
@@ -353,7 +353,7 @@
         status, headers, body, outcome = render(self._dialect, call.meta, action)
         route = call.execution.route
         # On an open connection the caller's next request would reach this isolated VM again.
-        close = isinstance(action, Refusal) and self._is_cut_off()
+        close = isinstance(action, Refusal) and self._is_isolated()
         call.exchange.respond(status, headers, body, close=close)
         self._delivery.on_answer(route, len(body) + headers_size(headers))
         now = self._clock()
@@ -396,6 +396,6 @@
         waiting.sort(key=lambda c: c.execution.wait_order(now))
         while waiting:
             call = waiting.pop(0)
-            self._execute(call, call.execution.on_room(service, now))
+            self._execute(call, call.execution.on_capacity(service, now))
             if service in call.execution.waiting:
                 break
--- a/bramleycrank/daemon/http_node.py
+++ b/bramleycrank/daemon/http_node.py
@@ -138,8 +138,8 @@
         self._render_metrics = render_metrics
         super().__init__()
         self._parts: ControlParts | None = None
-        self._far_contact: DomainIsolation | None = None
-        self._voter_keeper: VoterManager | None = None
+        self._domain_isolation: DomainIsolation | None = None
+        self._voter_manager: VoterManager | None = None
         self._entry: EntryController | None = None
         self._control: ControlService | None = None
         self._grpc: Server | None = None
@@ -156,7 +156,7 @@
             "vm": {"id": self._cfg.base.vm.id, "domain": self._cfg.base.vm.domain},
             "life_cycle": self.life_cycle.dump(),
             "consensus": parts and parts.consensus.dump(),
-            "voters": self._voter_keeper and self._voter_keeper.dump(),
+            "voters": self._voter_manager and self._voter_manager.dump(),
             "config": parts and parts.config.dump(),
             "membership": parts and parts.membership.dump(),
             "traffic": parts and parts.clients.traffic.dump(),
@@ -178,19 +178,19 @@
             return ""
         if not self._entry.has_routes:
             return "no routes are known yet"
-        return "cut off from the targets of some routes" if self._is_cut_off() else ""
+        return "cut off from the targets of some routes" if self._is_isolated() else ""
 
-    def _is_cut_off(self) -> bool:
+    def _is_isolated(self) -> bool:
         """Return whether VMs of other failure domains would serve callers better.
 
         A service without any target does not count, because no VM can serve it.
         """
-        return self._far_contact.is_isolated and not self._entry.can_serve
+        return self._domain_isolation.is_isolated and not self._entry.can_serve
 
     # Steps of the life cycle.
 
     async def start_parts(self) -> None:
-        """Build and start everything."""
+        """Build and start all parts of the VM."""
         rng = random.Random()
         cfg = self._cfg
         # Voters are added automatically here, so one with a damaged log can start with an empty
@@ -204,19 +204,19 @@
             control_only=cfg.entry is None,
         )
         loop = asyncio.get_running_loop()
-        self._far_contact = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
-        parts.membership.subscribe_config_status(self._far_contact.on_gossip)
+        self._domain_isolation = DomainIsolation(cfg.base.vm.domain, parts.membership, loop.time)
+        parts.membership.subscribe_config_status(self._domain_isolation.on_gossip)
         await self._listen(cfg.metrics, FunctionHandler(self._on_metrics))
         await self._listen(cfg.readiness, FunctionHandler(self._on_readiness))
         await parts.consensus.start()
         await parts.config.start()
-        self._voter_keeper = VoterManager(
+        self._voter_manager = VoterManager(
             cfg.voting, parts.consensus, parts.voters, parts.clients, parts.peers, rng
         )
-        peer = PeerService(parts.membership, parts.config, parts.consensus, self._voter_keeper)
+        peer = PeerService(parts.membership, parts.config, parts.consensus, self._voter_manager)
         self._grpc = Server([peer])
         await self._grpc.start(cfg.base.listen.grpc.host, cfg.base.listen.grpc.port)
-        self._voter_keeper.start()
+        self._voter_manager.start()
         if cfg.entry is not None:
             await self._start_entry(parts, rng, cfg.entry)
         if cfg.control is not None:
@@ -242,7 +242,7 @@
             self._cfg.extra,
             self._metrics,
             rng,
-            self._is_cut_off,
+            self._is_isolated,
             self._cfg.link_bytes_per_s,
             self._cfg.memory_bytes,
             parts.clients.traffic,
@@ -302,8 +302,8 @@
             task.cancel()
         if self._entry is not None:
             await self._entry.stop()
-        if self._voter_keeper is not None:
-            await self._voter_keeper.stop()
+        if self._voter_manager is not None:
+            await self._voter_manager.stop()
         parts = self._parts
         if parts is None:
             return
--- a/bramleycrank/daemon/voter_manager.py
+++ b/bramleycrank/daemon/voter_manager.py
@@ -40,7 +40,7 @@
 joins again as a learner and keeps its log.
 """
 
-LOST_LEADER_S = 2.0
+LEADER_SILENCE_S = 2.0
 """Silence of the leader after which a member requests to join again, in seconds.
 
 A VM that is removed during a partition does not learn of its removal: the leader stops sending to
@@ -71,7 +71,7 @@
     seeds: tuple[str, ...] = ()
 
 
-def next_change(
+def next_membership_change(
     members: Sequence[log_pb2.Member],
     own_id: str,
     silent_s: dict[str, float],
@@ -79,9 +79,9 @@
 ) -> object | None:
     """Return the next change of the members that the leader should make, or None.
 
-    - A member whose VM returned with another disk, or whose address another VM uses, is removed at
-      once, because that node never returns. It is removed before its successor is added, so that
-      the quorum does not count it.
+    - A member whose VM returned with another disk, or whose address another VM uses, is removed
+      immediately, because that node never returns. It is removed before its successor is added,
+      so that the quorum does not count it.
     - A newcomer is added as a learner.
     - The number of voters is odd: with an even number, a partition into two halves leaves neither
       of them with a quorum.
@@ -226,7 +226,7 @@
             await self._join()
         elif consensus.is_leader:
             await self._change_members(membership)
-        elif consensus.leader_silence_s() > LOST_LEADER_S:
+        elif consensus.leader_silence_s() > LEADER_SILENCE_S:
             await self._join()
 
     def _may_bootstrap(self) -> bool:
@@ -262,7 +262,7 @@
                 await stub.Join(request, timeout=CALL_TIMEOUT_S)
 
     async def _change_members(self, membership: log_pb2.Membership) -> None:
-        change = next_change(
+        change = next_membership_change(
             membership.members,
             self._consensus.node_id,
             self._consensus.member_silence_s(),
--- a/bramleycrank/membership/anti_entropy.py
+++ b/bramleycrank/membership/anti_entropy.py
@@ -15,12 +15,12 @@
 
 from bramleycrank.membership.records import (
     BUCKETS,
-    GONE_STATES,
+    DEPARTED_STATES,
     Key,
     bucket_of,
-    combine,
     digest,
     digest_key,
+    hash_contribution,
 )
 from bramleycrank.membership.types import Action, SendSync
 from bramleycrank.membership.view import GroupView
@@ -138,7 +138,7 @@
         if kind == "vm":
             known = self._view.vms.key(name)
             if known is None:
-                return key[1] not in GONE_STATES
+                return key[1] not in DEPARTED_STATES
         else:
             known = self._view.registry.key(name)
         return known is None or known < key
@@ -149,7 +149,7 @@
         if exchange is None:
             return []
         # Until its first exchange completes, this VM receives records that others already have.
-        actions = self._view.merge(reply.gossip, now, spread=self.completed > 0)
+        actions = self._view.merge(reply.gossip, now, queue_for_gossip=self.completed > 0)
         if exchange.remaining is None:
             exchange.remaining = [] if reply.equal else self._differing_buckets(reply, now)
         self._choose_batch(exchange, reply, progress=bool(actions), now=now)
@@ -235,14 +235,14 @@
 def _bucket_hashes(entries: Entries) -> list[int]:
     hashes = [0] * BUCKETS
     for record_id, (_, key) in entries.items():
-        hashes[bucket_of(record_id)] ^= combine(key)
+        hashes[bucket_of(record_id)] ^= hash_contribution(key)
     return hashes
 
 
 def _total_hash(entries: Entries) -> int:
     total_hash = 0
     for _, key in entries.values():
-        total_hash ^= combine(key)
+        total_hash ^= hash_contribution(key)
     return total_hash
 
 
--- a/bramleycrank/membership/gossip.py
+++ b/bramleycrank/membership/gossip.py
@@ -62,7 +62,7 @@
             ``vm/ID`` or ``target/ID``.
         key : tuple of int
             Order key of the record.
-        size : int
+        size_bytes : int
             Size of the serialized record, in bytes.
         urgent : bool, optional
             Whether the change is sent before others.
@@ -95,7 +95,7 @@
             Whether the receiver is in another failure domain.
         """
         limit = max_transmissions(
-            len(selection.members if selection.is_complete else selection.near) + 1
+            len(selection.members if selection.is_complete else selection.local_peers) + 1
         )
         is_cross_domain = to_other_domain and not selection.is_complete
         selected: list[str] = []
--- a/bramleycrank/membership/peer_selection.py
+++ b/bramleycrank/membership/peer_selection.py
@@ -37,9 +37,9 @@
 
     Parameters
     ----------
-    near : tuple of VmRecord
+    local_peers : tuple of VmRecord
         All other VMs of the own domain.
-    far : tuple of VmRecord
+    remote_peers : tuple of VmRecord
         Partners in other domains.
     remote_domain_count : int
         Number of other domains.
@@ -47,8 +47,8 @@
         Whether all VMs are included.
     """
 
-    near: tuple[VmRecord, ...]
-    far: tuple[VmRecord, ...]
+    local_peers: tuple[VmRecord, ...]
+    remote_peers: tuple[VmRecord, ...]
     remote_domain_count: int
     is_complete: bool
 
@@ -69,12 +69,12 @@
     @property
     def members(self) -> tuple[VmRecord, ...]:
         """All members, those of the own domain first."""
-        return self.near + self.far
+        return self.local_peers + self.remote_peers
 
     @property
     def cross_domain_sender_share(self) -> float:
         """Probability that this VM sends a change to other domains."""
-        return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.near) + 1))
+        return min(1.0, CROSS_DOMAIN_SENDERS / (len(self.local_peers) + 1))
 
 
 def split_by_domain(
@@ -100,7 +100,7 @@
     return [*local_peers, *(record for members in remote_peers for record in members)]
 
 
-def spread_sample(
+def sample_across_domains(
     local: VmRecord, peers: Iterable[VmRecord], count: int, rng: Random
 ) -> list[VmRecord]:
     """Return random VMs, spread over the domains as evenly as the domain sizes allow."""
--- a/bramleycrank/membership/prober.py
+++ b/bramleycrank/membership/prober.py
@@ -78,7 +78,7 @@
             actions += self._suspect_awaited(now)
         for record in self._view.vms.overdue_suspects(now):
             actions += self._view.merge_vm(record, now)
-        self._view.forget_gone(now)
+        self._view.remove_departed_vms(now)
         return actions + self._probe_next(now) + self._probe_unreachable(now)
 
     def _suspect_awaited(self, now: float) -> list[Action]:
@@ -103,13 +103,13 @@
         periods.
         """
         selection = self._view.vms.selection()
-        if selection.is_complete or not selection.far:
+        if selection.is_complete or not selection.remote_peers:
             return self._pop_live_member(self._order, selection.members)
         self._is_remote_turn = not self._is_remote_turn
         if self._is_remote_turn:
-            return self._pop_live_member(self._remote_order, selection.far)
-        return self._pop_live_member(self._order, selection.near) or self._pop_live_member(
-            self._remote_order, selection.far
+            return self._pop_live_member(self._remote_order, selection.remote_peers)
+        return self._pop_live_member(self._order, selection.local_peers) or self._pop_live_member(
+            self._remote_order, selection.remote_peers
         )
 
     def _pop_live_member(self, order: list[str], members: tuple[VmRecord, ...]) -> VmRecord | None:
--- a/bramleycrank/membership/pusher.py
+++ b/bramleycrank/membership/pusher.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from bramleycrank.membership.peer_selection import direct_receivers, spread_sample
+from bramleycrank.membership.peer_selection import direct_receivers, sample_across_domains
 from bramleycrank.membership.records import Key, address_of, target_key
 from bramleycrank.membership.types import PushRecords, SendProbe
 from bramleycrank.membership.view import GroupView
@@ -80,11 +80,11 @@
         """Return the messages that carry out a `PushRecords` action."""
         local, peers = self._view.vms.local, self._view.vms.peers()
         if len(self._outboxes) > 2 * len(peers) + SPARE_OUTBOXES:
-            self._remove_gone_vms()
+            self._remove_departed_outboxes()
         if action.fanout:
-            local_peers = self._view.vms.selection().near
+            local_peers = self._view.vms.selection().local_peers
             peers = local_peers if action.own_domain_only else peers
-            peers = spread_sample(local, peers, action.fanout, self._rng)
+            peers = sample_across_domains(local, peers, action.fanout, self._rng)
         else:
             peers = direct_receivers(local, peers, self._rng)
         out = []
@@ -105,7 +105,7 @@
             out += self._send_if_due(outbox, now)
         return out
 
-    def is_spreading(self, target_id: str) -> bool:
+    def has_unacknowledged_push(self, target_id: str) -> bool:
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
         return self._unacknowledged[target_id] > 0
 
@@ -168,7 +168,7 @@
             outbox.acknowledged.clear()  # a restarted VM may have lost its records
         return outbox
 
-    def _remove_gone_vms(self) -> None:
+    def _remove_departed_outboxes(self) -> None:
         for outbox in [
             candidate for candidate in self._outboxes.values() if candidate.open_id is None
         ]:
--- a/bramleycrank/membership/target_registry.py
+++ b/bramleycrank/membership/target_registry.py
@@ -33,7 +33,7 @@
 
 # Number of VMs to which a home VM pushes targets that are new to it. Gossip alone takes a few probe
 # periods, during which VMs that have just started would have no targets.
-NEW_FANOUT = 8
+NEW_TARGETS_FANOUT = 8
 
 
 @attrs.define
@@ -42,7 +42,7 @@
 
     incarnation: int
     sequence: int  # highest one in a report of the target
-    until: float
+    expires_at: float
 
 
 class TargetRegistry:
@@ -205,7 +205,7 @@
         return [*self._store(leaving, now), push]
 
     def merge(
-        self, records: Iterable[TargetRecord], now: float, *, spread: bool = True
+        self, records: Iterable[TargetRecord], now: float, *, queue_for_gossip: bool = True
     ) -> list[Action]:
         """Store the records of another VM that are newer than the own ones.
 
@@ -215,7 +215,7 @@
             Received records.
         now : float
             Current time in seconds.
-        spread : bool, optional
+        queue_for_gossip : bool, optional
             Whether the stored records are gossiped by this VM.
 
         Returns
@@ -228,7 +228,7 @@
         to_forward = []
         for record in records:
             was_usable = self._table.is_usable(record.target_id)
-            changes = self._store(record, now, spread=spread)
+            changes = self._store(record, now, queue_for_gossip=queue_for_gossip)
             actions += changes
             if changes and was_usable and record.state == TARGET_STATE_LEAVING:
                 to_forward.append(record)
@@ -238,7 +238,9 @@
             )
         return actions
 
-    def _store(self, record: TargetRecord, now: float, *, spread: bool = True) -> list[Action]:
+    def _store(
+        self, record: TargetRecord, now: float, *, queue_for_gossip: bool = True
+    ) -> list[Action]:
         if not self._table.put(record, now):
             if self._table.key(record.target_id) == target_key(record):
                 self.queue.count_received_copy(f"target/{record.target_id}")
@@ -246,7 +248,7 @@
         target_id = record.target_id
         stored = self._table.get(target_id)
         self._adjust_lease(stored, now)
-        if spread:
+        if queue_for_gossip:
             self.queue.add(
                 f"target/{target_id}",
                 self._table.key(target_id),
@@ -266,7 +268,7 @@
         elif record.target_id not in self._leases:
             self._leases[record.target_id] = _Lease(record.incarnation, 0, now + self._cfg.lease_s)
 
-    def on_vm(self, record: VmRecord, now: float) -> list[Action]:
+    def on_vm_changed(self, record: VmRecord, now: float) -> list[Action]:
         """Handle a change of a VM, which may be the home VM of targets."""
         changed = self._table.set_home(record.vm_id, record.state in LIVE_STATES, now)
         return [TargetChanged(rec) for rec in changed]
@@ -281,10 +283,10 @@
         self._last_tick = now
         if pause_s > self._cfg.lease_s / 2:
             for lease in self._leases.values():
-                lease.until += pause_s
+                lease.expires_at += pause_s
         actions: list[Action] = []
         for target_id in [
-            expired_id for expired_id, lease in self._leases.items() if lease.until <= now
+            expired_id for expired_id, lease in self._leases.items() if lease.expires_at <= now
         ]:
             del self._leases[target_id]
             known = self._table.get(target_id)
@@ -302,7 +304,7 @@
         """Return the push of all targets that are new since the last call."""
         new = tuple(self._new_targets.values())
         self._new_targets.clear()
-        return [PushRecords(new, fanout=NEW_FANOUT)] if new else []
+        return [PushRecords(new, fanout=NEW_TARGETS_FANOUT)] if new else []
 
     def usable(self, service: str, now: float) -> list[TargetRecord]:
         """Return the targets of a service that may get new sub-requests."""
@@ -353,7 +355,8 @@
         return {
             "targets": self._table.dump(now),
             "leases": {
-                target_id: round(lease.until - now, 3) for target_id, lease in self._leases.items()
+                target_id: round(lease.expires_at - now, 3)
+                for target_id, lease in self._leases.items()
             },
             "queued_changes": len(self.queue),
         }
--- a/bramleycrank/membership/view.py
+++ b/bramleycrank/membership/view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from bramleycrank.membership.records import GONE_STATES, LIVE_STATES
+from bramleycrank.membership.records import DEPARTED_STATES, LIVE_STATES
 from bramleycrank.membership.target_registry import TargetRegistry
 from bramleycrank.membership.types import Action, MembershipConfig, VmChanged
 from bramleycrank.membership.vm_table import VmTable
@@ -52,7 +52,7 @@
             Current time in seconds.
         peer_id : str, optional
             The receiver. If its state is not ALIVE here, the message includes its record, so that
-            it can refute the state at once.
+            it can refute the state immediately.
         """
         message = Gossip(sender=self.vms.local)
         peer = self.vms.get(peer_id) if peer_id else None
@@ -88,7 +88,7 @@
             return self.vms.get(name)
         return self.registry.outgoing(name, now)
 
-    def merge(self, message: Gossip, now: float, *, spread: bool = True) -> list[Action]:
+    def merge(self, message: Gossip, now: float, *, queue_for_gossip: bool = True) -> list[Action]:
         """Store the records of a message that are newer.
 
         VM records are merged first, since the usability of a target depends on its home VM.
@@ -99,7 +99,7 @@
             The message.
         now : float
             Current time in seconds.
-        spread : bool, optional
+        queue_for_gossip : bool, optional
             Whether to gossip the records; other VMs already have those that a joining VM receives.
         """
         actions: list[Action] = []
@@ -108,18 +108,23 @@
         for record in message.vms:
             if self.vms.get(record.vm_id) == record:
                 self.queue.count_received_copy(f"vm/{record.vm_id}")
-            actions += self.merge_vm(record, now, spread=spread)
-        return [*actions, *self.registry.merge(message.targets, now, spread=spread)]
-
-    def merge_vm(self, record: VmRecord, now: float, *, spread: bool = True) -> list[Action]:
+            actions += self.merge_vm(record, now, queue_for_gossip=queue_for_gossip)
+        return [
+            *actions,
+            *self.registry.merge(message.targets, now, queue_for_gossip=queue_for_gossip),
+        ]
+
+    def merge_vm(
+        self, record: VmRecord, now: float, *, queue_for_gossip: bool = True
+    ) -> list[Action]:
         """Store the record of a VM if it is newer; refute it if it describes this VM."""
         if record.vm_id == self.vms.local_id:
             return self._refute(record, now)
         if not record.vm_id or not self.vms.merge(record, now):
             return []
-        if spread:
+        if queue_for_gossip:
             self._enqueue(record)
-        return [VmChanged(record), *self.registry.on_vm(record, now)]
+        return [VmChanged(record), *self.registry.on_vm_changed(record, now)]
 
     def _refute(self, received: VmRecord, now: float) -> list[Action]:
         """Override a received record of this VM that is newer than the own one.
@@ -143,9 +148,9 @@
         self._enqueue(record)
         return [VmChanged(record)]
 
-    def forget_gone(self, now: float) -> None:
+    def remove_departed_vms(self, now: float) -> None:
         """Remove dead and left VMs after their retention time."""
-        for vm_id in self.vms.forget_gone(now):
+        for vm_id in self.vms.remove_departed_vms(now):
             self.queue.discard(f"vm/{vm_id}")
 
     def is_live(self, vm_id: str) -> bool:
@@ -155,5 +160,5 @@
 
     def _enqueue(self, record: VmRecord) -> None:
         record_id = f"vm/{record.vm_id}"
-        urgent = record.state in GONE_STATES
+        urgent = record.state in DEPARTED_STATES
         self.queue.add(record_id, self.vms.key(record.vm_id), record.ByteSize(), urgent=urgent)
--- a/bramleycrank/membership/vm_membership.py
+++ b/bramleycrank/membership/vm_membership.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from bramleycrank.membership.anti_entropy import AntiEntropy
-from bramleycrank.membership.peer_selection import spread_sample
+from bramleycrank.membership.peer_selection import sample_across_domains
 from bramleycrank.membership.prober import Prober
 from bramleycrank.membership.pusher import Pusher
 from bramleycrank.membership.records import address_of
@@ -210,15 +210,18 @@
         """Return the messages that carry out a `PushRecords` action."""
         return self._pusher.push(action, now)
 
-    def is_spreading(self, target_id: str) -> bool:
+    def has_unacknowledged_push(self, target_id: str) -> bool:
         """Return whether a push of the target's record is not acknowledged by all receivers yet."""
-        return self._pusher.is_spreading(target_id)
+        return self._pusher.has_unacknowledged_push(target_id)
 
-    def sample(self, count: int, *, own_domain_only: bool) -> list[str]:
+    def random_addresses(self, count: int, *, own_domain_only: bool) -> list[str]:
         """Return the addresses of random other VMs, of the own domain or of all domains."""
         vms = self._view.vms
-        peers = vms.selection().near if own_domain_only else vms.peers()
-        return [address_of(record) for record in spread_sample(self.local, peers, count, self._rng)]
+        peers = vms.selection().local_peers if own_domain_only else vms.peers()
+        return [
+            address_of(record)
+            for record in sample_across_domains(self.local, peers, count, self._rng)
+        ]
 
     def is_remote(self, address: str) -> bool:
         """Return whether a VM is in another failure domain; False for an unknown VM."""
--- a/bramleycrank/query/targets.py
+++ b/bramleycrank/query/targets.py
@@ -12,7 +12,7 @@
 FAILURES_TO_EJECT = 5
 """Consecutive failures after which a target is ejected."""
 
-EJECT_BASE_S, EJECT_MAX_S = 1.0, 60.0
+MIN_EJECTION_S, MAX_EJECTION_S = 1.0, 60.0
 """First and longest duration of an ejection; each further ejection doubles it."""
 
 EJECTION_RESET_S = 30.0
@@ -21,7 +21,7 @@
 MIN_WARMUP_SHARE = 0.05
 """Smallest load share of a warming target, which keeps observations coming in."""
 
-REPROBE_S, REPROBE_MAX_S = 1.0, 8.0
+MIN_REPROBE_DELAY_S, MAX_REPROBE_DELAY_S = 1.0, 8.0
 """First and longest time without a sub-request after which a target is tried again regardless of
 its score; the time doubles while the target stays slow.
 
@@ -48,7 +48,7 @@
 SHED_DELAY_FACTOR = 4.0
 """Additional cost if a failure is a shed sub-request, since a busy target should get less load."""
 
-UNKNOWN_LATENCY_S = 1e-4
+DEFAULT_LATENCY_S = 1e-4
 """Assumed latency of a target without observations; low, so that the target is chosen."""
 
 OBSERVATION_DECAY_S = 2.0
@@ -96,7 +96,7 @@
     sent_at: float = -1e9
     busy_since: float = 0.0  # last end of a sub-request, or first one in flight
     skipped_count: int = 0  # choices since `sent_at` that preferred another target
-    reprobe_s: float = REPROBE_S
+    reprobe_s: float = MIN_REPROBE_DELAY_S
     slow_at: float = -1e9  # when `reprobe_s` was last doubled
     replied_at: float = 0.0
     ended_at: float = 0.0
@@ -141,7 +141,7 @@
 
     def cost(self) -> float:
         """Return the expected cost of one more sub-request, regardless of the observations' age."""
-        load_s = (self.in_flight + 1) * (self.latency_s or UNKNOWN_LATENCY_S) * (1 + self.failures)
+        load_s = (self.in_flight + 1) * (self.latency_s or DEFAULT_LATENCY_S) * (1 + self.failures)
         return load_s * (1 + FAILURE_COST_FACTOR * self.failed_share)
 
     def expected_s(self, now: float) -> float:
@@ -151,10 +151,10 @@
         target that is silent for longer than its usual latency is paused or stuck, and is expected
         to remain so for the same time again.
         """
-        usual_s = self.latency_s or UNKNOWN_LATENCY_S
+        latency_s = self.latency_s or DEFAULT_LATENCY_S
         queue_rounds = max(1.0, (self.in_flight + 1) / self.slots)
         silent_s = now - self.busy_since if self.in_flight else 0.0
-        wait_s = usual_s * queue_rounds + max(0.0, silent_s - usual_s)
+        wait_s = latency_s * queue_rounds + max(0.0, silent_s - latency_s)
         failure_share = max(self.failed_share, min(1.0, self.failures / FAILURES_TO_EJECT))
         return wait_s * (
             1 + FAILURE_DELAY_FACTOR * failure_share + SHED_DELAY_FACTOR * self.shed_share
@@ -190,7 +190,7 @@
         if latency_s > SLOW_FACTOR * self.base_latency_s > 0:
             self._back_off(now)
         else:
-            self.reprobe_s = REPROBE_S
+            self.reprobe_s = MIN_REPROBE_DELAY_S
         previous_s, since_s = self.latency_s, now - self.replied_at
         self.replied_at = now
         if not previous_s:
@@ -203,7 +203,7 @@
         self.base_latency_s += (latency_s - self.base_latency_s) * (
             _BASE_RISE_WEIGHT if rising else _BASE_FALL_WEIGHT
         )
-        # The limit grows only if it is used, since an unused limit says nothing about capacity, and
+        # The limit grows only if it is used, since an unused limit does not show the capacity, and
         # only on a fast reply, since a slow one may have been queued at the target. It does not
         # exceed the slots: more would queue there while replicas in other domains have free slots.
         if (
@@ -215,7 +215,7 @@
     def _back_off(self, now: float) -> None:
         """Double the time until the next trial, once for all sub-requests of a trial."""
         if now - self.slow_at >= self.reprobe_s:
-            self.reprobe_s = min(REPROBE_MAX_S, 2 * self.reprobe_s)
+            self.reprobe_s = min(MAX_REPROBE_DELAY_S, 2 * self.reprobe_s)
             self.slow_at = now
 
     def _record_outcome(self, now: float, *, failed: bool, shed: bool = False) -> None:
@@ -244,7 +244,7 @@
         self.failures += 1
         self._record_outcome(now, failed=True)
         if self.failures >= FAILURES_TO_EJECT and now >= self.ejected_until:
-            wait = min(EJECT_MAX_S, EJECT_BASE_S * 2**self.ejections)
+            wait = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self.ejections)
             self.ejections = min(self.ejections + 1, 10)
             self.ejected_at, self.ejected_until = now, now + wait
             # After the ejection, a single failure causes the next ejection.
@@ -254,7 +254,7 @@
         """Return the state and the reason for it."""
         return {
             "domain": self.domain,
-            "why": self._why(now),
+            "why": self._explain(now),
             "in_flight": self.in_flight,
             "limit": round(self.limit, 2),
             "latency_ms": round(self.latency_s * 1e3, 3),
@@ -266,7 +266,7 @@
             "reported_load": round(self.reported_load, 3),
         }
 
-    def _why(self, now: float) -> str:
+    def _explain(self, now: float) -> str:
         if self.leaving:
             return "leaving: the target refused work because it is shutting down"
         if self.down:
--- a/bramleycrank/scatter/execution.py
+++ b/bramleycrank/scatter/execution.py
@@ -10,7 +10,7 @@
 from bramleycrank.scatter.delivery import ROUND_TRIP_S
 from bramleycrank.scatter.merge import trim_records
 from bramleycrank.scatter.policy import ScatterPolicy
-from bramleycrank.scatter.progress import Shard, Sub
+from bramleycrank.scatter.progress import OpenSubRequest, Shard
 from bramleycrank.scatter.stream import LATEST_STREAM_SHARE, ReplyStream
 from bramleycrank.scatter.types import (
     NOT_RUN_KINDS,
@@ -33,10 +33,10 @@
 LATE_FACTOR = 2.0
 """Multiple of the objective up to which an answer that already misses it waits for more parts."""
 
-RECHECK_S = 0.01
+MIN_HEDGE_RECHECK_DELAY_S = 0.01
 """Minimum delay before a hedge that could not be sent is considered again, in seconds."""
 
-RECHECK_SHARE = 0.25
+HEDGE_RECHECK_AGE_SHARE = 0.25
 """The same delay as a share of the request's age; bounds the checks when many shards are slow."""
 
 MAX_REFUSED = 2
@@ -83,7 +83,7 @@
         self._deadline = min(deadline, arrived + route.timeout_s)
         services = route.services if route.gather else (route.choose_service(),)
         self._shards = [Shard(service) for service in services]
-        self._open_subs: dict[int, tuple[Shard, Sub]] = {}
+        self._open_subs: dict[int, tuple[Shard, OpenSubRequest]] = {}
         stream_deadline = arrived + LATEST_STREAM_SHARE * route.objective_s
         self._stream = ReplyStream(len(self._shards), stream_deadline)
         self._lost = 0
@@ -127,7 +127,7 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_room(self, service: str, now: float) -> list[Action]:
+    def on_capacity(self, service: str, now: float) -> list[Action]:
         """Send the waiting sub-request of a service whose targets may have free capacity."""
         actions: list[Action] = []
         for shard in self._shards:
@@ -136,7 +136,7 @@
                 self._send_or_wait(shard, now, actions)
         return actions if self.ended else [*actions, *self._end_if_settled(now)]
 
-    def on_answer(self, sub_id: int, reply: TargetReply, now: float) -> list[Action]:
+    def on_reply(self, sub_id: int, reply: TargetReply, now: float) -> list[Action]:
         """Handle a complete reply of a target."""
         open_sub = self._open_subs.get(sub_id)
         if open_sub is None:
@@ -146,7 +146,7 @@
             return self.on_failure(sub_id, SubFailure(FailureKind.ERROR, reply), now)
         self._remove_sub(shard, sub)
         self._may_have_run = True
-        self._policy.on_answer(self.route.name, sub.target_id, reply, now - sub.sent_at, now)
+        self._policy.on_reply(self.route.name, sub.target_id, reply, now - sub.sent_at, now)
         if not self.route.gather:
             return self._end_with(Answer(reply), now)
         # Other records cannot be in the answer; trimming saves memory until all shards replied.
@@ -154,7 +154,7 @@
         shard.part = Part(shard.service, reply.receipt, body)
         actions = self._cancel(shard, True, now)
         self._end_shard(shard)
-        self._stream.on_answer(now)
+        self._stream.on_reply(now)
         return [*actions, *self._end_if_settled(now)]
 
     def on_failure(self, sub_id: int, failure: SubFailure, now: float) -> list[Action]:
@@ -230,7 +230,7 @@
         return first or self._policy.spend_retry_budget(shard.service, now)
 
     def _send(self, shard: Shard, target_id: str, now: float, actions: list[Action]) -> None:
-        sub = Sub(next(self._sub_ids), target_id, now)
+        sub = OpenSubRequest(next(self._sub_ids), target_id, now)
         shard.open.append(sub)
         shard.tried.append(target_id)
         shard.sends += 1
@@ -261,7 +261,9 @@
             elif self._try_hedge(shard, unhedged_shards, now, actions):
                 unhedged_shards -= 1
             else:
-                shard.hedge_at = now + max(RECHECK_S, RECHECK_SHARE * (now - self._arrived))
+                shard.hedge_at = now + max(
+                    MIN_HEDGE_RECHECK_DELAY_S, HEDGE_RECHECK_AGE_SHARE * (now - self._arrived)
+                )
         self._next_hedge_at = min(
             (s.hedge_at for s in self._shards if not s.ended), default=math.inf
         )
@@ -311,7 +313,7 @@
         self._send(shard, target_id, now, actions)
         return True
 
-    def _remove_sub(self, shard: Shard, sub: Sub) -> None:
+    def _remove_sub(self, shard: Shard, sub: OpenSubRequest) -> None:
         del self._open_subs[sub.sub_id]
         shard.open.remove(sub)
 
--- a/bramleycrank/scatter/policy.py
+++ b/bramleycrank/scatter/policy.py
@@ -35,7 +35,7 @@
 The second target needs the remaining time to reply within the objective.
 """
 
-UNKNOWN_HEDGE_S = 0.1
+DEFAULT_HEDGE_DELAY_S = 0.1
 """Hedge delay of a route without an objective until its latencies are known, in seconds."""
 
 
@@ -66,7 +66,7 @@
     def on_sent(self, target_id: str, now: float) -> None:
         """Count a sub-request in flight."""
 
-    def on_answer(
+    def on_reply(
         self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
@@ -106,7 +106,7 @@
         self.table = ReplicaTable(domain, rng, warmup_s=0.0)
         self._budget_cfg = budget_cfg
         self._rng = rng
-        self._has_room = has_capacity
+        self._pool_has_capacity = has_capacity
         self._vm_count = vm_count
         self._budgets: dict[str, RetryBudget] = {}
         self._latencies: dict[str, LatencyEstimate] = {}
@@ -123,7 +123,7 @@
         """
         exclude = set(tried)
         while (target_id := self.table.choose(service, SINGLE_SHARD, 0, exclude, now)) is not None:
-            if self.table.has_capacity(target_id) and self._has_room(target_id):
+            if self.table.has_capacity(target_id) and self._pool_has_capacity(target_id):
                 return target_id
             exclude.add(target_id)
         return None
@@ -171,7 +171,7 @@
         """
         latency = self._latencies.get(route)
         if latency is None or latency.samples < MIN_SAMPLES:
-            return objective_s * LATEST_HEDGE_SHARE or UNKNOWN_HEDGE_S
+            return objective_s * LATEST_HEDGE_SHARE or DEFAULT_HEDGE_DELAY_S
         if scarce:
             return latency.quantile(SCARCE_QUANTILE)
         delay_s = latency.quantile(HEDGE_QUANTILE)
@@ -195,7 +195,7 @@
         """Count a sub-request in flight."""
         self.table.on_sent(target_id, now)
 
-    def on_answer(
+    def on_reply(
         self, route: str, target_id: str, reply: TargetReply, latency_s: float, now: float
     ) -> None:
         """Record a reply that is used."""
--- a/tests/test_daemon_config_controller.py
+++ b/tests/test_daemon_config_controller.py
@@ -71,10 +71,10 @@
     def addresses(self):
         return self._peers
 
-    def spread_sample(self, count):
+    def sample_across_domains(self, count):
         return self._peers[:count]
 
-    local_sample = spread_sample
+    local_sample = sample_across_domains
 
     def is_remote(self, address):
         return False
@@ -203,7 +203,7 @@
 
 
 def test_failing_subscriber_does_not_stop_other_subscribers_or_ticks():
-    # The exception reached the Raft runner, which then stopped for good, or ended the ticks.
+    # The exception reached the Raft runner, which then stopped permanently, or ended the ticks.
     async def scenario(voter, controller):
         def fail():
             raise ValueError("subscriber")
--- a/tests/test_membership_peer_selection.py
+++ b/tests/test_membership_peer_selection.py
@@ -17,7 +17,7 @@
     CROSS_DOMAIN_SENDERS,
     PARTNERS_PER_DOMAIN,
     PeerSelection,
-    spread_sample,
+    sample_across_domains,
 )
 from bramleycrank.proto.peer_pb2 import VmRecord
 from bramleycrank.state.types import ConfigInForce
@@ -112,12 +112,12 @@
 
 def test_a_partitioned_domain_is_detected_as_dead_and_rejoins():
     fleet = make_fleet(12)
-    fleet.cut = frozenset(vm.vm_id for vm in fleet.vms if vm.domain == "a")
+    fleet.partitioned = frozenset(vm.vm_id for vm in fleet.vms if vm.domain == "a")
     fleet.run_for(20.0)
     for vm in fleet.vms:
         domains = {rec.domain for rec in vm.core.live_vms(fleet.now)}
         assert domains == ({"a"} if vm.domain == "a" else {"b", "c"})
-    fleet.cut = frozenset()
+    fleet.partitioned = frozenset()
     fleet.run_for(30.0)
     assert all(len(vm.core.live_vms(fleet.now)) == 36 for vm in fleet.vms)
 
@@ -133,7 +133,7 @@
         for local in vms
         for rec in PeerSelection.from_peers(
             local, [other for other in vms if other is not local]
-        ).far
+        ).remote_peers
     )
     assert (
         len(partner_counts) == len(vms)
@@ -173,7 +173,7 @@
 
 def test_a_sample_is_spread_over_the_domains():
     vms = [*make_records(30, "abc"), *make_records(1, "de")]
-    sample = spread_sample(vms[0], vms[1:], 10, Random(1))
+    sample = sample_across_domains(vms[0], vms[1:], 10, Random(1))
     assert len({rec.vm_id for rec in sample}) == 10
     counts = Counter(rec.domain for rec in sample)
     assert counts["d"] == counts["e"] == 1 and min(counts[d] for d in "abc") >= 2
@@ -190,7 +190,7 @@
     def start(self, vm):
         super().start(vm)
         own = self.domains[vm.address]
-        vm.follower._hints._is_far = lambda address: self.domains[address] != own
+        vm.follower._hints._is_remote = lambda address: self.domains[address] != own
 
     def execute(self, vm, actions):
         super().execute(vm, actions)
