--- a/tests/test_process_domain_isolation.py
+++ b/tests/test_process_domain_isolation.py
@@ -65,7 +65,7 @@
     first, other, isolated = fleet.vms
     issued_at_ms = int(time.time() * 1000)
     answer_before = await order(first, "before", issued_at_ms)
-    fleet.cut("c")
+    fleet.partition("c")
 
     async def is_stale() -> bool:
         answer = await search(isolated)
