--- a/bramleycrank/settings/model.py
+++ b/bramleycrank/settings/model.py
@@ -161,7 +161,7 @@
         Number(0.5, 600),
         default=6.0,
         unit="s",
-        meaning="Time after the leader's last confirmation in which a revision counts as current.",
+        meaning="Time after the leader's last confirmation in which the VM counts as current.",
     )
     start_wait_s: float = option(
         Number(0, 600),
