--- a/tests/test_process_consensus.py
+++ b/tests/test_process_consensus.py
@@ -197,7 +197,7 @@
             return (await stopped.dump())["consensus"]["log"]["core"]["snapshot_index"] >= 1000
 
         # The revision may arrive by the exchange between VMs before the leader's snapshot.
-        await wait_until(has_snapshot, "the restarted voter has the leader's snapshot")
+        assert await wait_until(has_snapshot, "the restarted voter has the leader's snapshot")
         for vm in fleet.vms:
             vm.kill()
         for vm in fleet.vms:
